--- a/src/bin/spardeal-node/backlog.rs
+++ b/src/bin/pondproxy-node/backlog.rs
@@ -6,7 +6,7 @@
 use std::mem::{size_of, take};
 
 use bytes::{Bytes, BytesMut};
-use spardeal::Micros;
+use pondproxy::Micros;
 
 use crate::memory::{Memory, Share};
 use crate::resp::{self, Malformed, Skip};
--- a/src/bin/spardeal-node/caches.rs
+++ b/src/bin/pondproxy-node/caches.rs
@@ -1,7 +1,7 @@
 //! What is said to cache servers and what their answers mean.
 
 use bytes::{Bytes, BytesMut};
-use spardeal::{Load, Note, Status};
+use pondproxy::{Load, Note, Status};
 
 use crate::clients::Command;
 use crate::resp::{self, Value};
--- a/src/bin/spardeal-node/clients.rs
+++ b/src/bin/pondproxy-node/clients.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use spardeal::settings::Deployment;
-use spardeal::{Effect, Key, Micros};
+use pondproxy::settings::Deployment;
+use pondproxy::{Effect, Key, Micros};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, watch};
 use tokio::time::{Instant, sleep_until};
--- a/src/bin/spardeal-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
+use pondproxy::settings::{self, Deployment};
 use serde::Deserialize;
-use spardeal::settings::{self, Deployment};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::discovery::Listing;
--- a/src/bin/spardeal-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use spardeal::CallFailure;
+use pondproxy::CallFailure;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
--- a/src/bin/spardeal-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use spardeal::CallFailure;
+use pondproxy::CallFailure;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
--- a/src/bin/spardeal-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -39,7 +39,7 @@
 
 /// Writes a line to the log; a log that can't be written to is no reason to stop.
 pub fn log(line: &str) {
-    let _ = writeln!(std::io::stderr(), "spardeal-node: {line}");
+    let _ = writeln!(std::io::stderr(), "pondproxy-node: {line}");
 }
 
 async fn run(config: Config) -> std::io::Result<()> {
--- a/src/bin/spardeal-node/node.rs
+++ b/src/bin/pondproxy-node/node.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use bytes::{Bytes, BytesMut};
-use spardeal::settings::Deployment;
-use spardeal::{
+use pondproxy::settings::Deployment;
+use pondproxy::{
     Action, Event, ListKind, Load, Micros, Note, Outcome, Policy, Request, RequestId, ServerId, Status,
 };
 use tokio::sync::{mpsc, watch};
--- a/src/bin/spardeal-node/node/lists.rs
+++ b/src/bin/pondproxy-node/node/lists.rs
@@ -1,6 +1,6 @@
 //! What the event loop does with news of calls to discovery: which lists are in force, and what is taken from the others.
 
-use spardeal::{Event, ListKind, Micros};
+use pondproxy::{Event, ListKind, Micros};
 
 use super::Node;
 use crate::discovery::{CallId, CallNews, Listing, Standing};
--- a/src/bin/spardeal-node/origin.rs
+++ b/src/bin/pondproxy-node/origin.rs
@@ -1,7 +1,7 @@
 //! What is said to the origin, in HTTP/1.1, and what its answers mean.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use spardeal::Status;
+use pondproxy::Status;
 
 use crate::caches;
 use crate::clients::Command;
--- a/src/bin/spardeal-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use spardeal::settings::Deployment;
-use spardeal::{Condition, ListKind, Micros, ServerId, ServerLine};
+use pondproxy::settings::Deployment;
+use pondproxy::{Condition, ListKind, Micros, ServerId, ServerLine};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::discovery::{Endpoint, Listing};
--- a/src/bin/spardeal-node/upstreams.rs
+++ b/src/bin/pondproxy-node/upstreams.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use spardeal::settings::Deployment;
-use spardeal::{Load, Micros, Note, RequestId, ServerId, Status};
+use pondproxy::settings::Deployment;
+use pondproxy::{Load, Micros, Note, RequestId, ServerId, Status};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
--- a/src/bin/spardeal-drill/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -1,6 +1,6 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
-use spardeal::{
+use pondproxy::{
     Action, CallFailure, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine,
     Status,
 };
@@ -72,12 +72,12 @@
         number: u16,
     },
     /// Any other event of an instance.
-    Event(u16, spardeal::Event),
+    Event(u16, pondproxy::Event),
 }
 
 /// A call that discovery took and that failed: the simulator knows no other, and tells at once.
-fn failed_call() -> spardeal::Event {
-    spardeal::Event::DiscoveryFailed { failure: CallFailure::Failed, unheard: 0 }
+fn failed_call() -> pondproxy::Event {
+    pondproxy::Event::DiscoveryFailed { failure: CallFailure::Failed, unheard: 0 }
 }
 
 /// Reads event record `index` of the body of a frame with `records` records.
@@ -86,22 +86,22 @@
     let tail = &body[records * EVENT_SIZE..];
     let node = u16_at(r, 1);
     let event = match r[0] {
-        1 => spardeal::Event::ClientGone(u64_at(r, 3)),
-        2 => spardeal::Event::Timer(u32_at(r, 3)),
-        3 => spardeal::Event::Outcome(outcome(r)?),
-        4 => spardeal::Event::Request(request(r)),
+        1 => pondproxy::Event::ClientGone(u64_at(r, 3)),
+        2 => pondproxy::Event::Timer(u32_at(r, 3)),
+        3 => pondproxy::Event::Outcome(outcome(r)?),
+        4 => pondproxy::Event::Request(request(r)),
         5 => {
             let settings = tail_part(tail, r, 11, 1)?;
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
-        6 => spardeal::Event::Probed {
+        6 => pondproxy::Event::Probed {
             ok: u16_at(r, 3) == 200,
             took: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
         7 => return Ok(Record::Stop(node)),
-        8 => spardeal::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        8 => pondproxy::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
         9 => {
             let part = tail_part(tail, r, 3, LINE_SIZE)?;
             let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
@@ -120,7 +120,7 @@
         }
         11 => {
             let bytes = tail_part(tail, r, 7, 1)?.to_vec();
-            spardeal::Event::PeerMessage { from: u32_at(r, 3), bytes }
+            pondproxy::Event::PeerMessage { from: u32_at(r, 3), bytes }
         }
         other => return Err(format!("unknown event code {other}")),
     };
@@ -408,7 +408,7 @@
             cost: Some(50),
             size: 0.0,
         };
-        assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, spardeal::Event::Request(request))));
+        assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, pondproxy::Event::Request(request))));
         let load = Load { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
         let outcome = Outcome {
             request: 9,
@@ -420,6 +420,6 @@
             took: 40,
             load,
         };
-        assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, spardeal::Event::Outcome(outcome))));
+        assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, pondproxy::Event::Outcome(outcome))));
     }
 }
--- a/src/bin/spardeal-drill/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
-use spardeal::{Action, Event, Micros, Policy, ServerLine, settings};
+use pondproxy::{Action, Event, Micros, Policy, ServerLine, settings};
 
 /// Numbered lists run from 0 to this, exclusive.
 const LISTS: usize = 16;
@@ -123,7 +123,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("spardeal-drill: {message}");
+            eprintln!("pondproxy-sim: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use spardeal::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use pondproxy::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
--- a/tests/brain.rs
+++ b/tests/brain.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use spardeal::*;
+use pondproxy::*;
 
 #[test]
 fn a_key_follows_one_order_at_every_balancer_and_little_moves_when_a_server_goes() {
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use common::*;
-use spardeal::*;
+use pondproxy::*;
 
 /// When each of so many balancers, told the same at the same instant, next calls discovery, from then on.
 fn next_calls(balancers: u32, servers: Vec<ServerLine>, fails: Option<(CallFailure, Micros)>) -> Vec<Micros> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A node in miniature: drives a policy event by event and keeps what it answered.
 #![allow(dead_code, missing_docs)]
 
-use spardeal::*;
+use pondproxy::*;
 
 pub const ORIGIN_KIND: u16 = 1;
 pub const ORIGIN: ServerId = 1000;
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -11,7 +11,7 @@
 mod common;
 
 use common::*;
-use spardeal::*;
+use pondproxy::*;
 
 /// How long a call takes that is turned away at once.
 const ROUND_TRIP: Micros = 20 * MS;
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -78,7 +78,7 @@
 }
 
 fn spawn() -> Child {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_spardeal-drill"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_pondproxy-sim"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     command.spawn().expect("the wirehost starts")
 }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -842,7 +842,7 @@
     let taken = good(&address.to_string());
     let texts = ["{", "{}", r#"{"settings":{"classes":3}}"#, &good("nowhere"), &taken];
     for text in texts.into_iter().map(Some).chain([None]) {
-        let mut run = Command::new(env!("CARGO_BIN_EXE_spardeal-node"));
+        let mut run = Command::new(env!("CARGO_BIN_EXE_pondproxy-node"));
         run.env_remove("ROUTER_CONFIG").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
         let path = text.map(config_file);
         if let Some(path) = &path {
--- a/tests/node/stand_in.rs
+++ b/tests/node/stand_in.rs
@@ -317,7 +317,7 @@
 /// Writes a file of its own for each node.
 pub fn config_file(text: &str) -> std::path::PathBuf {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let name = format!("spardeal-node-test-{}-{number}.json", std::process::id());
+    let name = format!("pondproxy-node-test-{}-{number}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -339,7 +339,7 @@
 ) -> (Child, SocketAddr, Receiver<String>) {
     let mut child = Command::new("/bin/sh")
         .arg("-c")
-        .arg(format!("{before} exec \"{}\"", env!("CARGO_BIN_EXE_spardeal-node")))
+        .arg(format!("{before} exec \"{}\"", env!("CARGO_BIN_EXE_pondproxy-node")))
         .env("ROUTER_CONFIG", path)
         .env("ROUTER_LISTEN", listen.to_string())
         .env("ROUTER_DISCOVERY", discovery.to_string())
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use common::{ORIGIN_KIND, take_due};
+use pondproxy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use spardeal::*;
 
 #[derive(Debug, Clone)]
 enum Step {
