--- a/src/bin/pondproxy-node/caches.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -3,9 +3,9 @@
 use bytes::{Bytes, BytesMut};
 use pondproxy::{Load, Note, Status};
 
-use crate::clients::Command;
+use crate::client_sessions::Command;
 use crate::resp::{self, Value};
-use crate::upstreams::{Broken, Reply};
+use crate::upstream_pool::{Broken, Reply};
 
 /// What a client said of its request as it goes on to a server: all unchanged but `d`, the time left now.
 pub fn facts(command: &Command, left_ms: u64) -> String {
--- a/src/bin/pondproxy-node/clients.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -14,12 +14,12 @@
 use tokio::time::{Instant, sleep_until};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::backlog::{Backlog, Next};
-use crate::memory::{Memory, Share};
-use crate::node::{Clock, Input};
-use crate::places::{ClientId, Leave, Place, Places, REST};
+use crate::client_socket::{PIECE, Presence, Socket};
+use crate::command_buffer::{Backlog, Next};
+use crate::connection_slots::{ClientId, Leave, Place, Places, REST};
+use crate::event_loop::{Clock, Input};
+use crate::memory_budget::{Memory, Share};
 use crate::resp;
-use crate::socket::{PIECE, Presence, Socket};
 
 /// Requests of one connection that are answered at the same time; more wait, or are refused. The first figure
 /// holds until it is known how long the answers are: together they may hold the third, as a part of the memory.
--- a/src/bin/pondproxy-node/socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::stream::{self, Peeked};
+use crate::stream_io::{self, Peeked};
 
 /// Input is read in pieces of this size; a command that is longer has to wait for memory.
 pub const PIECE: usize = 4096;
@@ -92,11 +92,11 @@
 
     fn read_into(&mut self, piece: &mut [u8], take: impl FnOnce(&[u8])) -> io::Result<usize> {
         // Not through tokio, which takes it that what was told once has been read.
-        let read = stream::read_now(&self.stream, piece);
+        let read = stream_io::read_now(&self.stream, piece);
         // Less than was asked for need not be all there was: urgent data or a signal can end a read early.
         self.unread = match &read {
             Ok(count) => {
-                self.ended() || *count == piece.len() || stream::peek(&self.stream) != Peeked::Nothing
+                self.ended() || *count == piece.len() || stream_io::peek(&self.stream) != Peeked::Nothing
             }
             Err(_) => false,
         };
@@ -106,7 +106,7 @@
 
     /// Writes what there is room for.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
-        self.stream.try_io(Interest::WRITABLE, || stream::write_now(&self.stream, bytes))
+        self.stream.try_io(Interest::WRITABLE, || stream_io::write_now(&self.stream, bytes))
     }
 
     /// Reads on for a moment, and so much, after the last answer: a close with input unread would reset the
@@ -154,7 +154,7 @@
             return Peeked::Ended;
         }
         // ... and one behind nothing in what it says now.
-        stream::peek(&stream)
+        stream_io::peek(&stream)
     }
 
     /// Whether the client is known to have gone.
--- a/src/bin/pondproxy-node/backlog.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -8,9 +8,9 @@
 use bytes::{Bytes, BytesMut};
 use pondproxy::Micros;
 
-use crate::memory::{Memory, Share};
+use crate::client_socket::PIECE;
+use crate::memory_budget::{Memory, Share};
 use crate::resp::{self, Malformed, Skip};
-use crate::socket::PIECE;
 
 /// So much is kept of commands that wait for others, in bytes: the longest there is, or some hundred short ones.
 const KEPT: usize = resp::MAX_VALUE + 3 * PIECE;
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::node::Input;
+use crate::event_loop::Input;
 use call::Call;
 pub use list::{Endpoint, Listing};
 
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -12,10 +12,10 @@
 
 use super::list::{self, Listing, Malformed};
 use super::{CallId, CallNews};
+use crate::event_loop::Input;
 use crate::http::{self, Chunks};
 use crate::log;
-use crate::node::Input;
-use crate::stream;
+use crate::stream_io;
 
 const CONNECT: Duration = Duration::from_secs(1);
 /// Calls wait in turn at discovery: it is given this long to begin its answer. What it has to tell counts as
@@ -171,7 +171,7 @@
         let stream = connect.await.map_err(CallError::Unreachable)?;
         let _ = stream.set_nodelay(true);
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
-        stream::write_all(&stream, request.as_bytes()).await?;
+        stream_io::write_all(&stream, request.as_bytes()).await?;
         Ok(stream)
     }
 
@@ -233,7 +233,7 @@
 
 async fn read_piece(stream: &TcpStream, raw: &mut BytesMut) -> std::io::Result<usize> {
     raw.reserve(PIECE);
-    stream::read(stream, raw).await
+    stream_io::read(stream, raw).await
 }
 
 fn watch_path(index: &AtomicU64) -> String {
--- a/src/bin/pondproxy-node/node.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop that owns the decision module: what arrives becomes its events, its actions become I/O. It
 //! decides nothing; where the sockets force its hand, a comment says so.
 
-mod lists;
+mod server_lists;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -15,15 +15,15 @@
 };
 use tokio::sync::{mpsc, watch};
 
-use crate::clients::{Answer, Asked, Command, Phase};
+use crate::client_sessions::{Answer, Asked, Command, Phase};
+use crate::client_socket::Presence;
 use crate::config::Config;
+use crate::connection_slots::{ClientId, Places};
 use crate::discovery::{CallId, CallNews, Discovery, Listing};
-use crate::memory::{Memory, Share};
-use crate::places::{ClientId, Places};
+use crate::memory_budget::{Memory, Share};
 use crate::server_table::ServerTable;
-use crate::socket::Presence;
-use crate::upstreams::{AttemptKey, ConnId, News, Pool, Reply, Speech};
-use crate::{caches, log, origin, resp};
+use crate::upstream_pool::{AttemptKey, ConnId, News, Pool, Reply, Speech};
+use crate::{cache_protocol, log, origin_protocol, resp};
 
 /// What reaches the loop.
 #[derive(Debug)]
@@ -446,8 +446,8 @@
         }
         let left_ms = (open.ends - now).div_ceil(1_000);
         let bytes = match server.speech {
-            Speech::Resp => caches::encode(&open.command, left_ms),
-            Speech::Http => origin::encode(&open.command, left_ms, &server.address.to_string()),
+            Speech::Resp => cache_protocol::encode(&open.command, left_ms),
+            Speech::Http => origin_protocol::encode(&open.command, left_ms, &server.address.to_string()),
         };
         if !self.pool.start(conn, bytes, open.presence.clone()) {
             self.lost(key, conn, false);
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -1,22 +1,22 @@
 //! One node: clients on one side, cache servers, the origin and discovery on the other, the decision module
 //! between them.
 
-mod backlog;
-mod caches;
-mod clients;
+mod cache_protocol;
+mod client_sessions;
+mod client_socket;
+mod command_buffer;
 mod config;
+mod connection_slots;
 mod discovery;
+mod event_loop;
 mod http;
-mod memory;
-mod node;
-mod origin;
-mod places;
+mod memory_budget;
+mod origin_protocol;
 mod reload;
 mod resp;
 mod server_table;
-mod socket;
-mod stream;
-mod upstreams;
+mod stream_io;
+mod upstream_pool;
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -26,11 +26,11 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, watch};
 
-use clients::{Front, Phase};
+use client_sessions::{Front, Phase};
 use config::Config;
-use memory::Memory;
-use node::{Clock, Input, Node};
-use places::Places;
+use connection_slots::Places;
+use event_loop::{Clock, Input, Node};
+use memory_budget::Memory;
 
 /// What waits between the connections and the node's loop.
 const INPUTS: usize = 1024;
@@ -72,7 +72,7 @@
         ids: Arc::default(),
     };
     places.listening(true);
-    tokio::spawn(clients::listen(listener, Arc::new(front)));
+    tokio::spawn(client_sessions::listen(listener, Arc::new(front)));
     let signals = input_sender.clone();
     tokio::spawn(async move {
         let [term, int] = &mut terms;
--- a/src/bin/pondproxy-node/origin.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -3,10 +3,10 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use pondproxy::Status;
 
-use crate::caches;
-use crate::clients::Command;
+use crate::cache_protocol;
+use crate::client_sessions::Command;
 use crate::http::{self, Chunks};
-use crate::upstreams::{Broken, Reply};
+use crate::upstream_pool::{Broken, Reply};
 
 /// Interim answers (1xx) ahead of the final one, at most.
 const MAX_INTERIM: usize = 8;
@@ -19,7 +19,7 @@
     out.put_slice(&command.key);
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
     out.put_slice(&command.id);
-    out.put_slice(format!("\r\nX-Facts: {}\r\n", caches::facts(command, left_ms)).as_bytes());
+    out.put_slice(format!("\r\nX-Facts: {}\r\n", cache_protocol::facts(command, left_ms)).as_bytes());
     let body: &[u8] = command.value.as_deref().unwrap_or(b"");
     if command.write {
         out.put_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
@@ -81,7 +81,7 @@
         _ => Status::Error,
     };
     let value = (status == Status::Served).then_some(value);
-    let load = caches::load(head.load.as_deref().unwrap_or(""), load_names);
-    let note = caches::note(head.note.as_deref().unwrap_or(""));
+    let load = cache_protocol::load(head.load.as_deref().unwrap_or(""), load_names);
+    let note = cache_protocol::note(head.note.as_deref().unwrap_or(""));
     Ok(Some(Reply { status, note, load, value, keep }))
 }
--- a/src/bin/pondproxy-node/reload.rs
+++ b/src/bin/pondproxy-node/reload.rs
@@ -7,8 +7,8 @@
 use tokio::time::timeout;
 
 use crate::config::Config;
+use crate::event_loop::Input;
 use crate::log;
-use crate::node::Input;
 
 /// A configuration that can't be used is read again after this long: it may be about to be replaced, or there may have
 /// been no descriptor to read it with.
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::discovery::{Endpoint, Listing};
-use crate::upstreams::Speech;
+use crate::upstream_pool::Speech;
 
 /// A line of the log names so many servers at most.
 const NAMED_IN_LOG: usize = 8;
--- a/src/bin/pondproxy-node/upstreams.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -13,13 +13,13 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::memory::Memory;
-use crate::node::Input;
-use crate::places::{Places, ServerPlace};
+use crate::client_socket::Presence;
+use crate::connection_slots::{Places, ServerPlace};
+use crate::event_loop::Input;
+use crate::memory_budget::Memory;
 use crate::resp::MAX_VALUE;
-use crate::socket::Presence;
-use crate::stream::{self, Peeked};
-use crate::{caches, http, origin, resp};
+use crate::stream_io::{self, Peeked};
+use crate::{cache_protocol, http, origin_protocol, resp};
 
 /// An answer that has begun and brings nothing more for this part of the longest aim will not be whole.
 const HALF_TOLD: u64 = 8;
@@ -255,7 +255,7 @@
 
 /// Whether nothing has come on a connection, neither bytes nor its end, by the machine's word.
 fn silent(stream: &TcpStream) -> bool {
-    stream::peek(stream) == Peeked::Nothing
+    stream_io::peek(stream) == Peeked::Nothing
 }
 
 /// One connection, in its task.
@@ -292,7 +292,7 @@
                 // First: a connection that the server has ended is not written to, so that its request
                 // surely never ran.
                 biased;
-                _ = stream::read(&stream, &mut buffer) => return News::Lost { written: false },
+                _ = stream_io::read(&stream, &mut buffer) => return News::Lost { written: false },
                 job = self.jobs.recv() => job,
             };
             let Some(Job { request, client }) = job else { return News::Lost { written: false } };
@@ -312,7 +312,7 @@
                 if rest.len() < request.len() && client.gone() {
                     return News::Lost { written: false };
                 }
-                match stream::write(&stream, rest).await {
+                match stream_io::write(&stream, rest).await {
                     Ok(count) if count > 0 => rest = &rest[count..],
                     _ => return News::Lost { written: false },
                 }
@@ -324,8 +324,10 @@
                 // that stands still half told is spoilt, and its request can still go elsewhere.
                 let patience = if buffer.is_empty() { NO_END } else { half_told };
                 let decoded = match self.speech {
-                    Speech::Resp => caches::decode(&mut buffer, &self.deployment.load_names, longest),
-                    Speech::Http => origin::decode(&mut buffer, &self.deployment.load_names, longest),
+                    Speech::Resp => cache_protocol::decode(&mut buffer, &self.deployment.load_names, longest),
+                    Speech::Http => {
+                        origin_protocol::decode(&mut buffer, &self.deployment.load_names, longest)
+                    }
                 };
                 match decoded {
                     Ok(Some(reply)) => break reply,
@@ -345,7 +347,7 @@
                     buffer.reserve(stated);
                 }
                 buffer.reserve(2048);
-                match tokio::time::timeout(patience, stream::read(&stream, &mut buffer)).await {
+                match tokio::time::timeout(patience, stream_io::read(&stream, &mut buffer)).await {
                     Ok(Ok(count)) if count > 0 => {}
                     Ok(_) => return News::Lost { written: true },
                     Err(_) => return News::Spoilt,
--- a/src/bin/pondproxy-node/upstreams/tests.rs
+++ b/src/bin/pondproxy-node/upstream_pool/tests.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, TcpStream as Peer};
 
 use super::*;
-use crate::socket::Socket;
+use crate::client_socket::Socket;
 
 /// What becomes of a request that is handed to a connection in the very moment in which its server or its client
 /// does something, and what the server had of it: the runtime does not look at the sockets between the two.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,8 +23,8 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
 
-mod brain;
 pub mod interface;
+mod policy;
 pub mod settings;
 mod state;
 
--- a/src/brain.rs
+++ b/src/policy.rs
@@ -6,8 +6,8 @@
 //! All else here is a departure for a failure that the code names.
 
 mod admission;
-mod cold;
 mod discovery_refresh;
+mod slow_start;
 
 use crate::interface::*;
 use crate::state::*;
--- a/src/brain/cold.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a cold server is sent, the part of `brain.rs` that keeps one from being pushed over.
+//! What a cold server is sent, the part of `policy.rs` that keeps one from being pushed over.
 
 use super::HOT;
 use crate::interface::Key;
--- a/tests/node/leaving.rs
+++ b/tests/node/client_disconnects.rs
@@ -7,7 +7,7 @@
 
 use socket2::SockRef;
 
-use crate::stand_in::*;
+use crate::stand_ins::*;
 use crate::{no_origin, pair, quiet};
 
 /// Answers that a stand-in holds back, each until it is told.
--- a/tests/node/crowd.rs
+++ b/tests/node/connection_pressure.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::drain::{Step, scripted};
-use crate::stand_in::*;
+use crate::stand_ins::*;
 use crate::{no_origin, pair, quiet};
 
 /// What peers that are no clients do.
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -5,7 +5,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::stand_in::*;
+use crate::stand_ins::*;
 use crate::{no_origin, pair};
 
 /// The next line of a node's log that says when discovery is asked again.
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -7,7 +7,7 @@
 
 use socket2::SockRef;
 
-use crate::stand_in::*;
+use crate::stand_ins::*;
 use crate::{connecting, no_origin, trio};
 
 /// What discovery does on a connection, one step after the other. The connection stays open behind the last.
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,11 +1,11 @@
 //! The real node over loopback sockets: one test for each failure that must not happen.
 #![allow(missing_docs)]
 
-mod crowd;
+mod client_disconnects;
+mod connection_pressure;
 mod discovery;
 mod drain;
-mod leaving;
-mod stand_in;
+mod stand_ins;
 mod system_calls;
 
 use std::io::{Read, Write};
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use stand_in::*;
+use stand_ins::*;
 
 /// A whole list of one cache server and an origin.
 fn pair(cache: SocketAddr, origin: SocketAddr) -> String {
@@ -814,9 +814,9 @@
 #[test]
 fn in_a_full_table_of_busy_clients_a_new_one_is_refused_at_once() {
     // Found on a day at full size with 128 sockets: what waited for a place was lost.
-    let (node, _hold) = crowd::before_caches_that_hold();
+    let (node, _hold) = connection_pressure::before_caches_that_hold();
     // As many as there are places that are not for refusals.
-    let _busy = crowd::busy(&node, 26);
+    let _busy = connection_pressure::busy(&node, 26);
     let mut all = Vec::new();
     for _ in 0..10 {
         let mut late = node.client();
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::stand_ins::*;
 use crate::{no_origin, pair, quiet};
 
 // An interrupted read or write was taken for the end of a connection, and a short read for all there was: found beside the
