--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -1,7 +1,7 @@
 //! What is said to cache servers and what their answers mean.
 
 use bytes::{Bytes, BytesMut};
-use pondproxy::{Load, Note, Status};
+use pondproxy::{CacheLookup, LoadReport, Status};
 
 use crate::client_sessions::Command;
 use crate::resp::{self, Value};
@@ -30,7 +30,13 @@
 /// spoilt answers passed on: whatever is not just as the protocol has it is broken.
 pub fn decode(buffer: &mut BytesMut, load_names: &[String], longest: usize) -> Result<Option<Reply>, Broken> {
     let Some(value) = resp::take_value(buffer, longest).map_err(|_| Broken)? else { return Ok(None) };
-    let reply = |status| Reply { status, note: Note::None, load: Load::default(), value: None, keep: true };
+    let reply = |status| Reply {
+        status,
+        note: CacheLookup::NotReported,
+        load: LoadReport::default(),
+        value: None,
+        keep: true,
+    };
     Ok(Some(match value {
         Value::Array(items) => {
             let Ok([Value::Bulk(value), Value::Bulk(how), Value::Bulk(report)]) =
@@ -43,14 +49,14 @@
                 text.as_ref().and_then(|t| std::str::from_utf8(t).ok()).unwrap_or("").to_owned()
             };
             let (note, load) = (note(&text(&how)), load(&text(&report), load_names));
-            let status = if value.is_some() { Status::Served } else { Status::Miss };
+            let status = if value.is_some() { Status::Success } else { Status::Miss };
             Reply { note, load, value, ..reply(status) }
         }
         Value::Error(line) => {
             let line = std::str::from_utf8(&line).map_err(|_| Broken)?;
             let status = match line.split(' ').next() {
                 _ if line.chars().any(char::is_control) => return Err(Broken),
-                Some("BUSY") => Status::Full,
+                Some("BUSY") => Status::Rejected,
                 Some("ERR") => Status::Error,
                 _ => return Err(Broken),
             };
@@ -63,24 +69,24 @@
 }
 
 /// How a read went, in a server's words.
-pub fn note(word: &str) -> Note {
+pub fn note(word: &str) -> CacheLookup {
     match word {
-        "hit" => Note::Hit,
-        "miss" => Note::Miss,
-        "pending" => Note::MissBeingFetched,
-        _ => Note::None,
+        "hit" => CacheLookup::Hit,
+        "miss" => CacheLookup::Miss,
+        "pending" => CacheLookup::MissPending,
+        _ => CacheLookup::NotReported,
     }
 }
 
 /// A load report in a server's words: names and values, put in the order that the settings name them.
-pub fn load(text: &str, names: &[String]) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str, names: &[String]) -> LoadReport {
+    let mut load = LoadReport::default();
     for (slot, name) in names.iter().take(load.values.len()).enumerate() {
         let pair = text.split(',').filter_map(|pair| pair.split_once('='));
         let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
         // Against reports that parse and tell nothing: not a number, endless or negative.
         let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
-            return Load::default();
+            return LoadReport::default();
         };
         load.values[slot] = value;
         load.count += 1;
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use pondproxy::settings::Deployment;
-use pondproxy::{Effect, Key, Micros};
+use pondproxy::{Idempotency, Key, Micros};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, watch};
 use tokio::time::{Instant, sleep_until};
@@ -586,7 +586,7 @@
     }
     command.tenant = tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
-    if write && matches!(class.effect, Effect::Keyed { .. }) && !keyed {
+    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !keyed {
         return Err("no k for a keyed write");
     }
     let wait = wait.ok_or("no d")?;
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use pondproxy::CallFailure;
+use pondproxy::DiscoveryFailure;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -40,7 +40,7 @@
     /// All that discovery had to tell at first has come.
     Answered,
     /// The call failed or the watch ended, and for how long nothing had been heard.
-    Failed { failure: CallFailure, unheard: Duration },
+    Failed { failure: DiscoveryFailure, unheard: Duration },
 }
 
 /// How a call stands to the others.
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pondproxy::CallFailure;
+use pondproxy::DiscoveryFailure;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -60,14 +60,14 @@
 
 impl CallError {
     /// What it means for the next call, of one that was answered or not.
-    fn failure(&self, answered: bool) -> CallFailure {
+    fn failure(&self, answered: bool) -> DiscoveryFailure {
         match self {
-            CallError::Unreachable(_) => CallFailure::Unreachable,
-            CallError::Silent => CallFailure::Silent,
-            CallError::CutOff => CallFailure::CutOff,
+            CallError::Unreachable(_) => DiscoveryFailure::Unreachable,
+            CallError::Silent => DiscoveryFailure::TimedOut,
+            CallError::CutOff => DiscoveryFailure::Interrupted,
             // A reset takes with it what was written and not yet read.
-            CallError::Io(_) if answered => CallFailure::CutOff,
-            CallError::Io(_) | CallError::Status(_) | CallError::Malformed => CallFailure::Failed,
+            CallError::Io(_) if answered => DiscoveryFailure::Interrupted,
+            CallError::Io(_) | CallError::Status(_) | CallError::Malformed => DiscoveryFailure::Failed,
         }
     }
 }
@@ -141,7 +141,7 @@
             Ok(()) => log("discovery: the watch has ended"),
             Err(e) => log(&format!("discovery: {e}")),
         }
-        let failure = ended.err().map_or(CallFailure::Failed, |e| e.failure(self.answered));
+        let failure = ended.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.answered));
         self.report(CallNews::Failed { failure, unheard: self.heard.elapsed() }).await;
     }
 
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -11,7 +11,8 @@
 use bytes::{Bytes, BytesMut};
 use pondproxy::settings::Deployment;
 use pondproxy::{
-    Action, Event, ListKind, Load, Micros, Note, Outcome, Policy, Request, RequestId, ServerId, Status,
+    Action, CacheLookup, Event, ListKind, LoadReport, Micros, Outcome, Policy, Request, RequestId, ServerId,
+    Status,
 };
 use tokio::sync::{mpsc, watch};
 
@@ -154,7 +155,7 @@
             discovery: Discovery::new(
                 config.discovery,
                 config.known.index,
-                Duration::from_micros(deployment.settings.drain_grace),
+                Duration::from_micros(deployment.settings.drain_grace_time),
                 input_sender,
             ),
             known: Some(config.known),
@@ -173,7 +174,7 @@
         if let Some(known) = self.known.take() {
             self.list(known, Some(ListKind::Cached));
         }
-        if !self.deployment.settings.ask_discovery {
+        if !self.deployment.settings.pull_discovery {
             self.discovery.follow();
         }
         self.timers.push(Reverse((self.clock.now() + SWEEP, Due::Sweep)));
@@ -244,7 +245,7 @@
         }
         if config.discovery != self.discovery.address() {
             self.discovery.move_to(config.discovery);
-            match self.deployment.settings.ask_discovery {
+            match self.deployment.settings.pull_discovery {
                 true => self.tell(Event::DiscoveryMoved),
                 false => self.discovery.follow(),
             }
@@ -294,7 +295,9 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, give_up_after } => self.send(request, server, give_up_after),
+            Action::Send { request, server, timeout: give_up_after } => {
+                self.send(request, server, give_up_after)
+            }
             Action::Refuse { request, retry_after } => {
                 let answer = match retry_after {
                     0 => Bytes::from_static(b"-BUSY\r\n"),
@@ -304,7 +307,7 @@
             }
             Action::Fail(request) => self.answer(request, Bytes::from_static(b"-ERR failed\r\n")),
             Action::Cancel { request, attempt } => self.give_up((request, attempt), Status::Cancelled),
-            Action::Timer { after, token } => {
+            Action::Timer { delay: after, token } => {
                 self.timers.push(Reverse((self.clock.now() + after.max(1), Due::Policy(token))));
             }
             Action::Subscribe(on) => self.discovery.subscribe(on),
@@ -314,8 +317,8 @@
             Action::Fault(line) => log(&format!("fault: {line}")),
             // This module neither probes nor speaks to peers; the sockets for it are not built.
             Action::Probe(server) => {
-                let (took, load) = (0, Load::default());
-                self.events.push_back(Event::Probed { server, ok: false, took, load });
+                let (took, load) = (0, LoadReport::default());
+                self.events.push_back(Event::Probed { server, healthy: false, elapsed: took, load });
             }
             Action::Tell { .. } => {}
         }
@@ -335,10 +338,10 @@
             tenant: command.tenant,
             key: command.hashed_key(),
             write: command.write,
-            repeat: command.repeat,
+            client_retry: command.repeat,
             time_left: ends.saturating_sub(self.clock.now()),
-            cost: command.cost,
-            size: command.size,
+            expected_work: command.cost,
+            value_bytes: command.size,
         };
         let share = Some(share);
         let (sent, out, over) = (0, 0, false);
@@ -480,7 +483,7 @@
             (News::Spoilt, Some(key)) => {
                 self.heard_from_server_of(key);
                 self.pool.close(conn);
-                self.end(key, Status::Spoilt);
+                self.end(key, Status::Malformed);
             }
             (News::Lost { written }, Some(key)) => self.lost(key, conn, written),
             (News::Lost { .. } | News::Spoilt, None) => self.pool.close(conn),
@@ -545,7 +548,13 @@
     fn end(&mut self, key: AttemptKey, status: Status) {
         self.end_with(
             key,
-            Reply { status, note: Note::None, load: Load::default(), value: None, keep: false },
+            Reply {
+                status,
+                note: CacheLookup::NotReported,
+                load: LoadReport::default(),
+                value: None,
+                keep: false,
+            },
         );
     }
 
@@ -554,7 +563,7 @@
         let Some(attempt) = self.attempts.remove(&key) else { return };
         let Some(open) = self.open.get_mut(&key.0) else { return };
         open.out -= 1;
-        let over = open.over || reply.status == Status::Served;
+        let over = open.over || reply.status == Status::Success;
         if let Some(value) = &reply.value {
             let mut answer = BytesMut::with_capacity(value.len() + 16);
             resp::put_bulk(&mut answer, value);
@@ -568,9 +577,9 @@
             attempt: key.1,
             server: attempt.server,
             status: reply.status,
-            over,
-            note: reply.note,
-            took: self.clock.now() - attempt.sent,
+            request_finished: over,
+            lookup: reply.note,
+            elapsed: self.clock.now() - attempt.sent,
             load: reply.load,
         }));
     }
--- a/src/bin/pondproxy-node/event_loop/server_lists.rs
+++ b/src/bin/pondproxy-node/event_loop/server_lists.rs
@@ -18,7 +18,10 @@
                 self.discovery.ended(call);
                 // Where discovery has moved, the former one ends its watches, and the next call is to be made soon.
                 if !self.discovery.moving() {
-                    self.tell(Event::DiscoveryFailed { failure, unheard: unheard.as_micros() as Micros });
+                    self.tell(Event::DiscoveryFailed {
+                        failure,
+                        since_last_contact: unheard.as_micros() as Micros,
+                    });
                 }
             }
             (Standing::Replaced, CallNews::List(listing)) => self.withdraw(&listing),
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -55,11 +55,11 @@
     let settings = &deployment.settings;
     log(&format!(
         "{} balancers, discovery to be asked within {} ms, grace of a drain {} ms",
-        settings.balancers,
-        settings.ask_within / 1_000,
-        settings.drain_grace / 1_000,
+        settings.balancer_count,
+        settings.notified_after / 1_000,
+        settings.drain_grace_time / 1_000,
     ));
-    let open = Arc::new(Semaphore::new(deployment.max_open.min(MAX_OPEN)));
+    let open = Arc::new(Semaphore::new(deployment.max_open_requests.min(MAX_OPEN)));
     let memory = Memory::new(config.memory_mb);
     let front = Front {
         deployment: deployment.clone(),
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -76,11 +76,11 @@
         buffer.split_to(length).freeze()
     };
     let status = match head.status {
-        200 => Status::Served,
-        503 | 504 if head.unprocessed => Status::Full,
+        200 => Status::Success,
+        503 | 504 if head.unprocessed => Status::Rejected,
         _ => Status::Error,
     };
-    let value = (status == Status::Served).then_some(value);
+    let value = (status == Status::Success).then_some(value);
     let load = cache_protocol::load(head.load.as_deref().unwrap_or(""), load_names);
     let note = cache_protocol::note(head.note.as_deref().unwrap_or(""));
     Ok(Some(Reply { status, note, load, value, keep }))
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use pondproxy::settings::Deployment;
-use pondproxy::{Condition, ListKind, Micros, ServerId, ServerLine};
+use pondproxy::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::discovery::{Endpoint, Listing};
@@ -24,7 +24,7 @@
     /// What is spoken with it.
     pub speech: Speech,
     /// How the decision module knows it.
-    line: ServerLine,
+    line: ServerEntry,
     /// When it last answered anything.
     pub heard: Micros,
 }
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct Changes {
     /// The list for the decision module.
-    pub lines: Vec<ServerLine>,
+    pub lines: Vec<ServerEntry>,
     /// Servers to which no idle connection is of use any more.
     pub disconnected: Vec<ServerId>,
     /// What became of servers, by name.
@@ -43,7 +43,7 @@
 /// What became of a server.
 enum Transition {
     /// It is in another condition than before.
-    Turned(Condition),
+    Turned(ServerState),
     /// It is at another address than before.
     Moved(SocketAddr),
 }
@@ -51,9 +51,9 @@
 impl std::fmt::Display for Transition {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Transition::Turned(Condition::Ready) => write!(f, "ready"),
-            Transition::Turned(Condition::Draining) => write!(f, "draining"),
-            Transition::Turned(Condition::Gone) => write!(f, "gone"),
+            Transition::Turned(ServerState::Ready) => write!(f, "ready"),
+            Transition::Turned(ServerState::Draining) => write!(f, "draining"),
+            Transition::Turned(ServerState::Removed) => write!(f, "gone"),
             Transition::Moved(address) => write!(f, "moved to {address}"),
         }
     }
@@ -91,12 +91,12 @@
 
     /// A server that takes new work.
     pub fn ready(&self, id: ServerId) -> Option<&Server> {
-        self.get(id).filter(|server| server.line.condition == Condition::Ready)
+        self.get(id).filter(|server| server.line.state == ServerState::Ready)
     }
 
     /// Whether any server takes new work.
     pub fn any_ready(&self) -> bool {
-        self.servers.values().any(|server| server.line.condition == Condition::Ready)
+        self.servers.values().any(|server| server.line.state == ServerState::Ready)
     }
 
     /// A server has answered something.
@@ -138,12 +138,12 @@
     fn withdraws(&self, entry: &Endpoint, now: Micros) -> bool {
         let id = server_id(entry);
         let line = self.line(id, entry, now);
-        let older = |server: &Server| line.started != 0 && line.started < server.line.started;
-        line.condition != Condition::Ready && self.ready(id).is_some_and(|server| !older(server))
+        let older = |server: &Server| line.started_at != 0 && line.started_at < server.line.started_at;
+        line.state != ServerState::Ready && self.ready(id).is_some_and(|server| !older(server))
     }
 
     fn remove_gone(&mut self, changes: &Changes) {
-        for line in changes.lines.iter().filter(|line| line.condition == Condition::Gone) {
+        for line in changes.lines.iter().filter(|line| line.state == ServerState::Removed) {
             self.servers.remove(&line.id);
         }
     }
@@ -156,19 +156,19 @@
             return;
         };
         let line = self.line(id, entry, now);
-        let speech = match self.deployment.settings.origin_kind == Some(line.kind) {
+        let speech = match self.deployment.settings.origin_machine_type == Some(line.machine_type) {
             true => Speech::Http,
             false => Speech::Resp,
         };
         let name = Box::from(entry.name.as_str());
-        if before.map(|server| server.line.condition) != Some(line.condition) {
-            changes.transitions.push((Box::clone(&name), Transition::Turned(line.condition)));
+        if before.map(|server| server.line.state) != Some(line.state) {
+            changes.transitions.push((Box::clone(&name), Transition::Turned(line.state)));
         }
         let moved = before.is_some_and(|server| server.address != address);
         if moved {
             changes.transitions.push((Box::clone(&name), Transition::Moved(address)));
         }
-        if line.condition != Condition::Ready || moved {
+        if line.state != ServerState::Ready || moved {
             changes.disconnected.push(id);
         }
         let heard = before.map_or(0, |server| server.heard);
@@ -176,20 +176,21 @@
         self.servers.insert(id, Server { name, address, speech, line, heard });
     }
 
-    fn line(&self, id: ServerId, entry: &Endpoint, now: Micros) -> ServerLine {
+    fn line(&self, id: ServerId, entry: &Endpoint, now: Micros) -> ServerEntry {
         let place = |names: &[String], name: &String| names.iter().position(|known| known == name);
-        ServerLine {
+        ServerEntry {
             id,
             zone: place(&self.deployment.zones, &entry.zone).unwrap_or(255) as u8,
             cell: entry.group,
-            kind: place(&self.deployment.kinds, &entry.kind).unwrap_or(usize::from(u16::MAX)) as u16,
+            machine_type: place(&self.deployment.machine_types, &entry.kind).unwrap_or(usize::from(u16::MAX))
+                as u16,
             weight: entry.weight,
             // In the module's clock, which is Unix time here; 0 stays 0, and nothing starts in the future.
-            started: match entry.since_ms {
+            started_at: match entry.since_ms {
                 0 => 0,
                 since_ms => since_ms.saturating_mul(1_000).min(now),
             },
-            condition: condition(entry),
+            state: condition(entry),
         }
     }
 
@@ -198,8 +199,10 @@
         let listed: HashSet<_> = entries.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
             changes.disconnected.push(*id);
-            changes.transitions.push((std::mem::take(&mut server.name), Transition::Turned(Condition::Gone)));
-            changes.lines.push(ServerLine { condition: Condition::Gone, ..server.line.clone() });
+            changes
+                .transitions
+                .push((std::mem::take(&mut server.name), Transition::Turned(ServerState::Removed)));
+            changes.lines.push(ServerEntry { state: ServerState::Removed, ..server.line.clone() });
         }
     }
 }
@@ -208,10 +211,10 @@
     xxh3_64(entry.name.as_bytes()) as ServerId
 }
 
-fn condition(entry: &Endpoint) -> Condition {
+fn condition(entry: &Endpoint) -> ServerState {
     match entry.status.as_str() {
-        "active" => Condition::Ready,
-        "left" => Condition::Gone,
-        _ => Condition::Draining,
+        "active" => ServerState::Ready,
+        "left" => ServerState::Removed,
+        _ => ServerState::Draining,
     }
 }
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use pondproxy::settings::Deployment;
-use pondproxy::{Load, Micros, Note, RequestId, ServerId, Status};
+use pondproxy::{CacheLookup, LoadReport, Micros, RequestId, ServerId, Status};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -44,8 +44,8 @@
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     pub status: Status,
-    pub note: Note,
-    pub load: Load,
+    pub note: CacheLookup,
+    pub load: LoadReport,
     pub value: Option<Bytes>,
     /// Whether the connection can carry another request.
     pub keep: bool,
@@ -128,7 +128,7 @@
     ) -> Self {
         // Well before the server closes it: a request written to a closed connection ends as a reset, which
         // may have run and so may not be sent again.
-        let idle_limit = deployment.idle_close / 2;
+        let idle_limit = deployment.idle_timeout / 2;
         let (conns, idle) = (HashMap::new(), HashMap::new());
         Pool { conns, idle, next: 1, places, idle_limit, deployment, memory, input_sender }
     }
@@ -277,7 +277,8 @@
             return News::Lost { written: false };
         };
         let _ = stream.set_nodelay(true);
-        let aim = self.deployment.settings.classes.iter().map(|class| class.aim).max().unwrap_or(0);
+        let aim =
+            self.deployment.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
         let half_told = Duration::from_micros((aim / HALF_TOLD).clamp(10_000, 250_000));
         // Servers may hold values that are longer than what clients send through here: what bounds them is memory.
         let longest = (self.memory.all() / 4).min(MAX_ANSWER);
@@ -324,9 +325,11 @@
                 // that stands still half told is spoilt, and its request can still go elsewhere.
                 let patience = if buffer.is_empty() { NO_END } else { half_told };
                 let decoded = match self.speech {
-                    Speech::Resp => cache_protocol::decode(&mut buffer, &self.deployment.load_names, longest),
+                    Speech::Resp => {
+                        cache_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
+                    }
                     Speech::Http => {
-                        origin_protocol::decode(&mut buffer, &self.deployment.load_names, longest)
+                        origin_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
                     }
                 };
                 match decoded {
--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -1,8 +1,8 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
 use pondproxy::{
-    Action, CallFailure, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine,
-    Status,
+    Action, CacheLookup, DiscoveryFailure, ListKind, LoadReport, Micros, Outcome, Request, ServerEntry,
+    ServerId, ServerState, Status,
 };
 
 /// Size of a batch header.
@@ -58,7 +58,7 @@
         /// Number of the list.
         number: u16,
         /// Its lines.
-        lines: Vec<ServerLine>,
+        lines: Vec<ServerEntry>,
     },
     /// An instance is killed.
     Stop(u16),
@@ -77,7 +77,7 @@
 
 /// A call that discovery took and that failed: the simulator knows no other, and tells at once.
 fn failed_call() -> pondproxy::Event {
-    pondproxy::Event::DiscoveryFailed { failure: CallFailure::Failed, unheard: 0 }
+    pondproxy::Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 }
 }
 
 /// Reads event record `index` of the body of a frame with `records` records.
@@ -95,8 +95,8 @@
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
         6 => pondproxy::Event::Probed {
-            ok: u16_at(r, 3) == 200,
-            took: u32_at(r, 5).into(),
+            healthy: u16_at(r, 3) == 200,
+            elapsed: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
@@ -132,23 +132,23 @@
     Request {
         id: u64_at(r, 3),
         tenant: u16_at(r, 11).into(),
-        cost: (marks & 1 != 0).then(|| u32_at(r, 15).into()),
-        repeat: marks & 2 != 0,
+        expected_work: (marks & 1 != 0).then(|| u32_at(r, 15).into()),
+        client_retry: marks & 2 != 0,
         write: marks & 4 != 0,
         class: r[14].into(),
         key: u64_at(r, 19),
-        size: f32_at(r, 27),
+        value_bytes: f32_at(r, 27),
         time_left: u32_at(r, 31).into(),
     }
 }
 
 fn outcome(r: &[u8]) -> Result<Outcome, String> {
     let status = match u16_at(r, 22) {
-        200 => Status::Served,
+        200 => Status::Success,
         204 => Status::Miss,
         408 => Status::TimedOut,
         409 => Status::NotSent,
-        429 => Status::Full,
+        429 => Status::Rejected,
         444 => Status::Cancelled,
         502 => Status::Error,
         520 => Status::Reset,
@@ -156,42 +156,42 @@
         other => return Err(format!("unknown outcome {other}")),
     };
     let note = match u32_at(r, 11) {
-        1 => Note::Hit,
-        2 => Note::Miss,
-        3 => Note::MissBeingFetched,
-        _ => Note::None,
+        1 => CacheLookup::Hit,
+        2 => CacheLookup::Miss,
+        3 => CacheLookup::MissPending,
+        _ => CacheLookup::NotReported,
     };
     Ok(Outcome {
         request: u64_at(r, 3),
-        note,
-        took: u32_at(r, 15).into(),
+        lookup: note,
+        elapsed: u32_at(r, 15).into(),
         attempt: u16_at(r, 19),
-        over: r[21] != 0,
+        request_finished: r[21] != 0,
         status,
         server: u32_at(r, 24),
         load: load(r, 28),
     })
 }
 
-fn load(r: &[u8], at: usize) -> Load {
+fn load(r: &[u8], at: usize) -> LoadReport {
     let values = std::array::from_fn(|i| f32_at(r, at + 1 + 4 * i));
-    Load { count: r[at].min(4), values }
+    LoadReport { count: r[at].min(4), values }
 }
 
-fn line(r: &[u8]) -> Result<ServerLine, String> {
+fn line(r: &[u8]) -> Result<ServerEntry, String> {
     let condition = match r[9] {
-        0 => Condition::Gone,
-        1 => Condition::Ready,
-        2 => Condition::Draining,
+        0 => ServerState::Removed,
+        1 => ServerState::Ready,
+        2 => ServerState::Draining,
         other => return Err(format!("census line with unknown condition {other}")),
     };
-    Ok(ServerLine {
+    Ok(ServerEntry {
         zone: r[0],
-        started: u64_at(r, 1),
-        condition,
+        started_at: u64_at(r, 1),
+        state: condition,
         id: u32_at(r, 10),
         cell: u16_at(r, 14),
-        kind: u16_at(r, 16),
+        machine_type: u16_at(r, 16),
         weight: f32_at(r, 18),
     })
 }
@@ -238,7 +238,7 @@
         let mut r = [0u8; ACTION_SIZE];
         r[1..3].copy_from_slice(&node.to_le_bytes());
         match action {
-            Action::Send { request, server, give_up_after } => {
+            Action::Send { request, server, timeout: give_up_after } => {
                 r[0] = 1;
                 put(&mut r, 3, &request.to_le_bytes());
                 put(&mut r, 11, &server.to_le_bytes());
@@ -258,7 +258,7 @@
                 put(&mut r, 3, &request.to_le_bytes());
                 put(&mut r, 11, &attempt.to_le_bytes());
             }
-            Action::Timer { after, token } => {
+            Action::Timer { delay: after, token } => {
                 r[0] = 5;
                 put(&mut r, 3, &span(*after));
                 put(&mut r, 7, &token.to_le_bytes());
@@ -349,7 +349,7 @@
         let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
         let cases = [
             (
-                Action::Send { request: id, server, give_up_after: 80_000 },
+                Action::Send { request: id, server, timeout: 80_000 },
                 record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
             ),
             (
@@ -359,7 +359,7 @@
             (Action::Fail(id), record(3, &[(3, &i)])),
             (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &i), (11, &[2])])),
             (
-                Action::Timer { after: 500_000, token: 77 },
+                Action::Timer { delay: 500_000, token: 77 },
                 record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
             ),
             (Action::Probe(server), record(6, &[(3, &s)])),
@@ -403,21 +403,21 @@
             tenant: 1,
             key: 5,
             write: true,
-            repeat: true,
+            client_retry: true,
             time_left: 256,
-            cost: Some(50),
-            size: 0.0,
+            expected_work: Some(50),
+            value_bytes: 0.0,
         };
         assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, pondproxy::Event::Request(request))));
-        let load = Load { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
+        let load = LoadReport { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
         let outcome = Outcome {
             request: 9,
             attempt: 1,
             server: 6,
-            status: Status::Full,
-            over: true,
-            note: Note::MissBeingFetched,
-            took: 40,
+            status: Status::Rejected,
+            request_finished: true,
+            lookup: CacheLookup::MissPending,
+            elapsed: 40,
             load,
         };
         assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, pondproxy::Event::Outcome(outcome))));
--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
-use pondproxy::{Action, Event, Micros, Policy, ServerLine, settings};
+use pondproxy::{Action, Event, Micros, Policy, ServerEntry, settings};
 
 /// Numbered lists run from 0 to this, exclusive.
 const LISTS: usize = 16;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerLine>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// How many balancers share the fleet.
-    pub balancers: u32,
+    pub balancer_count: u32,
     /// The number of this balancer among them, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// The zone that this balancer stands in.
     pub zone: u8,
     /// The classes of requests.
@@ -25,15 +25,15 @@
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
     /// Whether the server list must be asked for (subscription or whole list) or comes by itself.
-    pub ask_discovery: bool,
+    pub pull_discovery: bool,
     /// Without a subscription, the balancer counts as told of changes this long after they happened.
-    pub ask_within: Micros,
+    pub notified_after: Micros,
     /// Machine kind of the origin in the server list; `None` where servers fetch for themselves.
-    pub origin_kind: Option<u16>,
+    pub origin_machine_type: Option<u16>,
     /// Whether weights in the list tell the size of a server.
-    pub weights_are_sizes: bool,
+    pub weights_are_capacities: bool,
     /// Whether weights in the list tell size / (1 + requests held a core).
-    pub weights_are_live: bool,
+    pub weights_follow_load: bool,
     /// The figures that load reports carry, in their order.
     pub load_fields: Vec<LoadField>,
     /// Attempts that one request may make.
@@ -45,7 +45,7 @@
     /// Whether servers may be probed.
     pub may_probe: bool,
     /// Whether balancers may send each other messages.
-    pub may_tell_peers: bool,
+    pub may_message_peers: bool,
     /// Price of the connections that one balancer in a hundred holds open to all servers ...
     pub connection_price: f64,
     /// ... and of opening one for each request.
@@ -55,15 +55,15 @@
     /// Shortest time between two calls of the module.
     pub tick: Micros,
     /// A server starts with at least this part of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// A started server is warm after this time at the latest.
-    pub warm_up: Micros,
+    pub warm_up_time: Micros,
     /// A cold server falls over when sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub crash_load_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
+    pub crash_load_time: Micros,
     /// Sends to a draining or gone server must stop within this time.
-    pub drain_grace: Micros,
+    pub drain_grace_time: Micros,
     /// A connection that is not up by then has failed.
     pub connect_timeout: Micros,
 }
@@ -71,31 +71,31 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            balancers: 1,
-            me: 0,
+            balancer_count: 1,
+            balancer_index: 0,
             zone: 0,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            ask_discovery: false,
-            ask_within: 10_000_000,
-            origin_kind: None,
-            weights_are_sizes: false,
-            weights_are_live: false,
+            pull_discovery: false,
+            notified_after: 10_000_000,
+            origin_machine_type: None,
+            weights_are_capacities: false,
+            weights_follow_load: false,
             load_fields: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
             may_cancel: false,
             may_probe: false,
-            may_tell_peers: false,
+            may_message_peers: false,
             connection_price: 0.0,
             handshake_price: 0.0,
             max_retry_after: 0,
             tick: 1_000,
-            cold_share: 0.25,
-            warm_up: 10_000_000,
-            fall_multiple: 3.0,
-            fall_after: 2_000_000,
-            drain_grace: 500_000,
+            initial_capacity_share: 0.25,
+            warm_up_time: 10_000_000,
+            crash_load_multiple: 3.0,
+            crash_load_time: 2_000_000,
+            drain_grace_time: 500_000,
             connect_timeout: 250_000,
         }
     }
@@ -105,42 +105,48 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// A client waits this long in all.
     pub deadline: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub on_time_value: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value_fraction: f64,
     /// What a repeat of such a request does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 impl Default for Class {
     fn default() -> Self {
-        Class { aim: 250_000, deadline: 1_000_000, worth: 1.0, late_worth: 0.0, effect: Effect::Safe }
+        Class {
+            latency_target: 250_000,
+            deadline: 1_000_000,
+            on_time_value: 1.0,
+            late_value_fraction: 0.0,
+            idempotency: Idempotency::Idempotent,
+        }
     }
 }
 
 /// What a repeat of a request does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be sent as often as wanted.
-    Safe,
+    Idempotent,
     /// Servers of one group drop a repeat for a while after the first attempt.
-    Keyed {
+    Deduplicated {
         /// Which servers drop a repeat.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the sending of the earliest attempt that may have run.
         window: Micros,
     },
     /// The effect happens again.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A group of cache servers that knows which keyed requests its members have seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every cache server.
     All,
     /// Those of one zone.
@@ -164,11 +170,11 @@
     /// Requests that wait.
     Queued,
     /// Share of CPU in use.
-    Busy,
+    CpuUtilization,
     /// Recent service time, milliseconds.
-    ServiceMs,
+    ServiceTimeMs,
     /// Requests served a second.
-    Rate,
+    RequestRate,
     /// Errors a second.
     ErrorRate,
     /// A figure that this module gives no meaning.
@@ -177,7 +183,7 @@
 
 /// A load report: figures in the order of [`Settings::load_fields`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Load {
+pub struct LoadReport {
     /// How many of `values` are there.
     pub count: u8,
     /// The figures.
@@ -186,7 +192,7 @@
 
 /// One line of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerLine {
+pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
     /// Its zone.
@@ -194,30 +200,38 @@
     /// Its cell, a small group that shares which keyed requests it has seen.
     pub cell: u16,
     /// Its machine kind.
-    pub kind: u16,
+    pub machine_type: u16,
     /// Its weight.
     pub weight: f32,
     /// When its process last started; 0 for long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Whether it runs, drains or is gone.
-    pub condition: Condition,
+    pub state: ServerState,
 }
 
-impl Default for ServerLine {
+impl Default for ServerEntry {
     fn default() -> Self {
-        ServerLine { id: 0, zone: 0, cell: 0, kind: 0, weight: 1.0, started: 0, condition: Condition::Ready }
+        ServerEntry {
+            id: 0,
+            zone: 0,
+            cell: 0,
+            machine_type: 0,
+            weight: 1.0,
+            started_at: 0,
+            state: ServerState::Ready,
+        }
     }
 }
 
 /// What the list says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum ServerState {
     /// It runs.
     Ready,
     /// It ends what it has; nothing new may be sent to it.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// How a server list relates to the one held.
@@ -236,25 +250,27 @@
 
 /// How a call to discovery, or the watch on its changes, came to nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFailure {
+pub enum DiscoveryFailure {
     /// Discovery never took it: the connection was refused, or did not come up. It cost discovery nothing.
     Unreachable,
     /// Discovery took it, and turned it away or broke it off. It cost as much as one that is served.
     Failed,
     /// Its answer ended before it was whole, or its watch was reset: news may have been lost.
-    CutOff,
+    Interrupted,
     /// Discovery took it and has been silent for too long since.
-    Silent,
+    TimedOut,
 }
 
-impl CallFailure {
+impl DiscoveryFailure {
     /// The failure in words, for the log.
-    pub fn text(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            CallFailure::Unreachable => "can't be reached",
-            CallFailure::Failed => "turned a call away, or the watch broke",
-            CallFailure::CutOff => "turned a call away, or the watch broke, perhaps with news on its way",
-            CallFailure::Silent => "is silent",
+            DiscoveryFailure::Unreachable => "can't be reached",
+            DiscoveryFailure::Failed => "turned a call away, or the watch broke",
+            DiscoveryFailure::Interrupted => {
+                "turned a call away, or the watch broke, perhaps with news on its way"
+            }
+            DiscoveryFailure::TimedOut => "is silent",
         }
     }
 }
@@ -273,28 +289,28 @@
     /// Whether it writes (and so goes to the origin).
     pub write: bool,
     /// Whether the client said that it repeats an earlier try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// Time until the client gives this try up.
     pub time_left: Micros,
     /// Expected work, where told.
-    pub cost: Option<Micros>,
+    pub expected_work: Option<Micros>,
     /// Size of the value in bytes, 0 where not told.
-    pub size: f32,
+    pub value_bytes: f32,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// Served.
-    Served,
+    Success,
     /// The server holds nothing for this key; it did not run.
     Miss,
     /// The server reported an error; it may have run.
     Error,
     /// The answer can't be understood, though the server gave one; it may have run.
-    Spoilt,
+    Malformed,
     /// Turned away unseen; it did not run.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection came about; it did not run.
@@ -309,28 +325,28 @@
 
 impl Status {
     /// Whether this outcome proves that the attempt never ran.
-    pub fn proves_not_run(self) -> bool {
-        matches!(self, Status::Miss | Status::Full | Status::ConnectFailed | Status::NotSent)
+    pub fn never_executed(self) -> bool {
+        matches!(self, Status::Miss | Status::Rejected | Status::ConnectFailed | Status::NotSent)
     }
 
     /// Whether the attempt was given up with nothing heard of it.
-    pub fn unheard(self) -> bool {
+    pub fn abandoned(self) -> bool {
         matches!(self, Status::Cancelled | Status::TimedOut)
     }
 }
 
 /// What a server said of the key in its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Note {
+pub enum CacheLookup {
     /// Nothing.
     #[default]
-    None,
+    NotReported,
     /// The value was held.
     Hit,
     /// It was not.
     Miss,
     /// It was not, and another request has been told to fetch it.
-    MissBeingFetched,
+    MissPending,
 }
 
 /// The end of one attempt.
@@ -345,13 +361,13 @@
     /// How it ended.
     pub status: Status,
     /// Whether the request has its final answer (by this outcome or before).
-    pub over: bool,
+    pub request_finished: bool,
     /// What the server said of the key.
-    pub note: Note,
+    pub lookup: CacheLookup,
     /// Time from sending to this end.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// Load report of the server, if one came along.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// Something that happened at this balancer.
@@ -362,14 +378,14 @@
         /// How it relates to the list held.
         kind: ListKind,
         /// Its lines.
-        servers: Vec<ServerLine>,
+        servers: Vec<ServerEntry>,
     },
     /// A call to discovery failed, or the watch ended; the list held stays in force.
     DiscoveryFailed {
         /// How it failed.
-        failure: CallFailure,
+        failure: DiscoveryFailure,
         /// For how long nothing has been heard, of which discovery may have had something to tell.
-        unheard: Micros,
+        since_last_contact: Micros,
     },
     /// Discovery is at another address from now on, and the next call goes there.
     DiscoveryMoved,
@@ -393,11 +409,11 @@
         /// The server probed.
         server: ServerId,
         /// Whether it answered well.
-        ok: bool,
+        healthy: bool,
         /// Time from sending to this end.
-        took: Micros,
+        elapsed: Micros,
         /// Load report of the server, if one came along.
-        load: Load,
+        load: LoadReport,
     },
     /// A message of another balancer.
     PeerMessage {
@@ -418,7 +434,7 @@
         /// The server.
         server: ServerId,
         /// Give the attempt up after this time; 0 for the client's own limit.
-        give_up_after: Micros,
+        timeout: Micros,
     },
     /// Final answer: turned away, a retry is harmless.
     Refuse {
@@ -439,7 +455,7 @@
     /// Call back with [`Event::Timer`] after a time.
     Timer {
         /// The time from now.
-        after: Micros,
+        delay: Micros,
         /// Given back with the event.
         token: u32,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use pondproxy::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use pondproxy::{Action, Event, ListKind, Policy, Request, ServerEntry, ServerState, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
@@ -12,8 +12,8 @@
 //!
 //! // The balancer starts at some clock value (microseconds) with the server list it last held.
 //! let servers = vec![
-//!     ServerLine { id: 7, condition: Condition::Ready, ..ServerLine::default() },
-//!     ServerLine { id: 9, condition: Condition::Ready, ..ServerLine::default() },
+//!     ServerEntry { id: 7, state: ServerState::Ready, ..ServerEntry::default() },
+//!     ServerEntry { id: 9, state: ServerState::Ready, ..ServerEntry::default() },
 //! ];
 //! policy.handle(1_000_000, Event::ServerList { kind: ListKind::Cached, servers }, &mut actions);
 //!
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -36,29 +36,30 @@
     /// A tenant's token bucket fills with this balancer's part of its quota, times the level, so that those
     /// furthest over are turned away first. A rate measured from the handful that one of many balancers sees
     /// would turn away those within their quotas.
-    pub(super) fn admit(&mut self, h: &mut Held, tenant: usize) -> bool {
-        let Some(sender) = self.senders.get_mut(tenant) else { return true };
+    pub(super) fn admit(&mut self, h: &mut RequestState, tenant: usize) -> bool {
+        let Some(sender) = self.tenant_buckets.get_mut(tenant) else { return true };
         // While all together ask for less than their quotas, chance in a small bucket turns none away.
         // A falling level empties the buckets too: what many hold back would keep a jam going for long.
-        let burst = (BURST * self.level).clamp(1.0, BURST);
-        let pooled = self.pool.fill(self.now, POOL * self.quota_share * self.level, burst);
+        let burst = (BURST * self.admission_level).clamp(1.0, BURST);
+        let pooled =
+            self.shared_bucket.refill(self.now, POOL * self.quota_share * self.admission_level, burst);
         let quota = self.settings.tenants.get(tenant).map_or(f64::INFINITY, |t| t.quota_per_s);
-        let part = self.level * quota / f64::from(self.settings.balancers.max(1));
-        let room = sender.fill(self.now, part, burst + part * self.aim as f64 / 1e6);
-        let admitted = room || pooled || self.level >= HIGHEST_LEVEL;
+        let part = self.admission_level * quota / f64::from(self.settings.balancer_count.max(1));
+        let room = sender.refill(self.now, part, burst + part * self.latency_target as f64 / 1e6);
+        let admitted = room || pooled || self.admission_level >= HIGHEST_LEVEL;
         if admitted {
             sender.take();
-            self.pool.take();
-            h.charged = Some(tenant);
+            self.shared_bucket.take();
+            h.charged_tenant = Some(tenant);
         }
         admitted
     }
 
     /// Logs that shedding over quota has begun.
     fn log_shedding(&mut self, level_before: f64, out: &mut Vec<Action>) {
-        let begins = level_before >= HIGHEST_LEVEL && self.level < HIGHEST_LEVEL;
-        if begins && self.now >= self.shedding_quiet_until {
-            self.shedding_quiet_until = self.now + SHEDDING_LOG_PERIOD;
+        let begins = level_before >= HIGHEST_LEVEL && self.admission_level < HIGHEST_LEVEL;
+        if begins && self.now >= self.shedding_log_muted_until {
+            self.shedding_log_muted_until = self.now + SHEDDING_LOG_PERIOD;
             out.push(Action::Log("shedding over quota has begun".into()));
         }
     }
@@ -66,17 +67,17 @@
     /// Moves the level that tenants are held to, by the overload seen lately. An equal part of a quota is a
     /// guess, and some of many balancers see several times the mean: none is held to it while there is room.
     pub(super) fn review(&mut self, out: &mut Vec<Action>) {
-        let period = (self.aim / 8).max(self.settings.tick).max(1);
-        let was = self.level;
-        let overload = self.strain.value();
+        let period = (self.latency_target / 8).max(self.settings.tick).max(1);
+        let was = self.admission_level;
+        let overload = self.overload_signal.value();
         let jammed = overload > JAMMED_FROM;
-        let room = self.sees_little() && !jammed && self.busy.value() < ROOM;
+        let room = self.sees_little() && !jammed && self.server_utilization.value() < ROOM;
         let hold = overload > HOLD_FROM && !jammed && !room;
         let floor = if jammed { LOWEST_LEVEL } else { INITIAL_LEVEL };
         // It hastens in a jam, which grows by itself, and where few or no requests are left to judge by.
-        let haste = jammed || was < INITIAL_LEVEL || room || (self.cache_out == 0 && overload <= 0.0);
-        let part = if haste { 1.0 } else { (self.strain.fresh / WHOLE_STEP_FROM).min(1.0) };
-        self.level = match jammed || (hold && was > INITIAL_LEVEL) {
+        let haste = jammed || was < INITIAL_LEVEL || room || (self.cache_in_flight == 0 && overload <= 0.0);
+        let part = if haste { 1.0 } else { (self.overload_signal.recent / WHOLE_STEP_FROM).min(1.0) };
+        self.admission_level = match jammed || (hold && was > INITIAL_LEVEL) {
             true => (was * LEVEL_STEPS.0.powf(part)).max(floor),
             false => {
                 let ceiling = if hold { INITIAL_LEVEL } else { HIGHEST_LEVEL };
@@ -84,10 +85,10 @@
             }
         };
         self.log_shedding(was, out);
-        self.strain.fade(FADE.0, FADE.1);
-        self.gate.pressed.fade(FADE.0, FADE.1);
-        self.busy.fade(FADE.0, FADE.1);
-        self.admitted.roll(period);
-        self.wake(period, Wake::Review);
+        self.overload_signal.decay(FADE.0, FADE.1);
+        self.gate.blocked_ratio.decay(FADE.0, FADE.1);
+        self.server_utilization.decay(FADE.0, FADE.1);
+        self.admitted_rate.end_period(period);
+        self.wake(period, TimerTask::AdmissionReview);
     }
 }
--- a/src/policy/discovery_refresh.rs
+++ b/src/policy/discovery_refresh.rs
@@ -1,7 +1,7 @@
 //! When discovery is called. Owns the time of the next call, and keeps the calls of many balancers out of
 //! step. It must not know how a call is made, only how the last one ended.
 
-use crate::interface::{Action, CallFailure, Micros};
+use crate::interface::{Action, DiscoveryFailure, Micros};
 use crate::state::*;
 
 /// Calls are spread over this part of the time within which discovery is to be asked, for each further
@@ -55,20 +55,20 @@
     /// and one that has waited too long there fails and costs it as much: where many restart at once and
     /// call in step, all but the first few fail, and so they do when they all call again soon.
     pub(super) fn calls_spread(&self) -> f64 {
-        let balancers = self.settings.balancers;
+        let balancers = self.settings.balancer_count;
         let others = f64::from(balancers.saturating_sub(1)) * SPREAD_PER_BALANCER;
         let crowd = f64::from(balancers.saturating_sub(LINE_WITHOUT_HARM)) * SPREAD_PER_CROWDING_BALANCER;
-        (self.settings.ask_within as f64 * others.max(crowd)).min(CALL_BY as f64)
+        (self.settings.notified_after as f64 * others.max(crowd)).min(CALL_BY as f64)
     }
 
     /// Against a call in step: a configuration may move discovery for all balancers at once. How calls ended
     /// at its former address says nothing of those to come.
     pub(super) fn discovery_moved(&mut self) {
-        let spread = self.calls_spread().min(MOVED_SPREAD) * self.rng.unit();
-        self.failed_calls = 0;
+        let spread = self.calls_spread().min(MOVED_SPREAD) * self.rng.next_unit();
+        self.discovery_failures = 0;
         self.call_due_by(self.now + MOVED_CALL_BY);
-        let Some(first_move) = self.moved_at else {
-            self.moved_at = Some(self.now);
+        let Some(first_move) = self.discovery_moved_at else {
+            self.discovery_moved_at = Some(self.now);
             return self.call_after(spread as Micros);
         };
         // Configurations that follow one another would each cost discovery a call in vain: the call waits for
@@ -78,60 +78,72 @@
         }
         let settled = MOVES_SETTLE as f64 + spread;
         let latest = (first_move + MOVED_SPREAD as Micros).saturating_sub(self.now) as f64;
-        self.call_at = None;
+        self.next_discovery_call = None;
         self.call_after(settled.min(latest - spread).max(0.0) as Micros);
     }
 
     /// A list has come: all that discovery had to tell is in force.
     pub(super) fn discovery_heard(&mut self) {
-        self.failed_calls = 0;
-        (self.moved_at, self.call_due) = (None, None);
+        self.discovery_failures = 0;
+        (self.discovery_moved_at, self.discovery_call_due) = (None, None);
     }
 
     /// What was not heard counts as notified soon after a time. A call that fails does not put that off.
     fn call_due_by(&mut self, at: Micros) {
-        self.call_due = Some(self.call_due.map_or(at, |due| due.min(at)));
+        self.discovery_call_due = Some(self.discovery_call_due.map_or(at, |due| due.min(at)));
     }
 
     /// One call stands for all that were asked for meanwhile: each costs discovery the same.
     pub(super) fn call_after(&mut self, after: Micros) {
         let at = self.now + after;
-        if self.call_at.is_none_or(|pending| at < pending) {
-            self.call_at = Some(at);
-            self.wakes.at(at, Wake::Subscribe);
+        if self.next_discovery_call.is_none_or(|pending| at < pending) {
+            self.next_discovery_call = Some(at);
+            self.timers.schedule(at, TimerTask::DiscoveryCall);
         }
     }
 
     /// A call has come to nothing, or the watch has ended: when is the next? In time for all that discovery
     /// may have had since this balancer last heard of it, or called it.
-    pub(super) fn discovery_failed(&mut self, failure: CallFailure, unheard: Micros, out: &mut Vec<Action>) {
+    pub(super) fn discovery_failed(
+        &mut self,
+        failure: DiscoveryFailure,
+        unheard: Micros,
+        out: &mut Vec<Action>,
+    ) {
         self.call_due_by((self.now + CALL_BY).saturating_sub(unheard));
         let (from, to) = self.next_call_window(failure, unheard as f64);
         let latest = self.latest_call(failure, unheard as f64);
         let (from, to) = (from.min(latest * JITTER), to.min(latest));
-        let after = (from + (to - from) * self.rng.unit()) * self.overload_factor(failure);
+        let after = (from + (to - from) * self.rng.next_unit()) * self.overload_factor(failure);
         let after = after.min(self.until_due()) as Micros;
-        self.failed_calls = if failure == CallFailure::Unreachable { 1 } else { self.failed_calls + 1 };
+        self.discovery_failures =
+            if failure == DiscoveryFailure::Unreachable { 1 } else { self.discovery_failures + 1 };
         self.call_after(after);
-        out.push(Action::Log(format!("discovery {}: asking again in {} ms", failure.text(), after / 1_000)));
+        out.push(Action::Log(format!(
+            "discovery {}: asking again in {} ms",
+            failure.description(),
+            after / 1_000
+        )));
     }
 
     /// The earliest and the latest that the next call would be for the load on discovery alone. A call that
     /// it never took cost it nothing, and the next one soon finds out that it is back; one that it took cost
     /// it as much as one that is served, so that the next ones come later each time.
-    fn next_call_window(&self, failure: CallFailure, unheard: f64) -> (f64, f64) {
-        let (spread, least) = (self.calls_spread(), self.settings.ask_within as f64 * BACKOFF);
-        let taken = failure != CallFailure::Unreachable;
-        let grace = self.settings.drain_grace as f64;
+    fn next_call_window(&self, failure: DiscoveryFailure, unheard: f64) -> (f64, f64) {
+        let (spread, least) = (self.calls_spread(), self.settings.notified_after as f64 * BACKOFF);
+        let taken = failure != DiscoveryFailure::Unreachable;
+        let grace = self.settings.drain_grace_time as f64;
         match failure {
             // What was cut off counts as notified, and the call has to wait in line within the grace.
-            CallFailure::CutOff if self.failed_calls < CUT_OFF_TRIES && self.served_again_in_time() => {
+            DiscoveryFailure::Interrupted
+                if self.discovery_failures < CUT_OFF_TRIES && self.served_again_in_time() =>
+            {
                 (0.0, spread.min(grace * GRACE_PART))
             }
-            CallFailure::Silent if self.failed_calls < SILENT_TRIES => (0.0, spread),
-            _ if self.failed_calls == 0 => (least / 2.0, least.max(spread) + least / 2.0),
+            DiscoveryFailure::TimedOut if self.discovery_failures < SILENT_TRIES => (0.0, spread),
+            _ if self.discovery_failures == 0 => (least / 2.0, least.max(spread) + least / 2.0),
             _ => {
-                let doublings = if taken { self.failed_calls.min(BACKOFF_DOUBLINGS) } else { 0 };
+                let doublings = if taken { self.discovery_failures.min(BACKOFF_DOUBLINGS) } else { 0 };
                 let period = (least * f64::from(1 << doublings)).max(spread - unheard);
                 (period * JITTER, period)
             }
@@ -141,11 +153,11 @@
     /// The latest that the next call may be, whatever the failures before. One more refusal must not make it
     /// too late for what discovery has, so that there is time for another call behind it, as far as discovery
     /// can serve the fleet so often.
-    fn latest_call(&self, failure: CallFailure, unheard: f64) -> f64 {
+    fn latest_call(&self, failure: DiscoveryFailure, unheard: f64) -> f64 {
         let call_by = CALL_BY as f64;
         let turn = match failure {
-            CallFailure::Silent => call_by,
-            _ if self.failed_calls >= OVERLOADED_AFTER && !self.served_again_in_time() => call_by,
+            DiscoveryFailure::TimedOut => call_by,
+            _ if self.discovery_failures >= OVERLOADED_AFTER && !self.served_again_in_time() => call_by,
             _ => (call_by / CALLS_IN_TIME).max(self.calls_spread() * CALLS_IN_TIME).min(call_by),
         };
         (turn - unheard).max(0.0)
@@ -154,8 +166,10 @@
     /// How long it is until a call has to be made since what was not heard is about to count as notified. The
     /// watches of a fleet may all have broken at once: even so the calls are spread.
     fn until_due(&mut self) -> f64 {
-        let Some(due) = self.call_due.filter(|_| self.served_again_in_time()) else { return f64::INFINITY };
-        let early = self.calls_spread() * self.rng.unit();
+        let Some(due) = self.discovery_call_due.filter(|_| self.served_again_in_time()) else {
+            return f64::INFINITY;
+        };
+        let early = self.calls_spread() * self.rng.next_unit();
         let left = due.saturating_sub(self.now) as f64 - early;
         if left > 0.0 { left } else { f64::INFINITY }
     }
@@ -166,9 +180,9 @@
     }
 
     /// By how much the pause grows since discovery is overloaded by the fleet.
-    fn overload_factor(&self, failure: CallFailure) -> f64 {
-        let crowded = failure != CallFailure::Unreachable && self.calls_spread() >= CALL_BY as f64;
-        let steps = if crowded { self.failed_calls / OVERLOADED_AFTER } else { 0 };
+    fn overload_factor(&self, failure: DiscoveryFailure) -> f64 {
+        let crowded = failure != DiscoveryFailure::Unreachable && self.calls_spread() >= CALL_BY as f64;
+        let steps = if crowded { self.discovery_failures / OVERLOADED_AFTER } else { 0 };
         OVERLOADED_FACTOR.powi(steps.min(OVERLOADED_STEPS) as i32)
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -10,9 +10,10 @@
 impl Policy {
     /// Part of its capacity that a server has at the least, some time after its start.
     fn warmth(&self, s: &Server) -> f64 {
-        let age = self.now.saturating_sub(s.line.started) as f64 / self.settings.warm_up.max(1) as f64;
-        let share = self.settings.cold_share;
-        if s.line.started == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
+        let age =
+            self.now.saturating_sub(s.entry.started_at) as f64 / self.settings.warm_up_time.max(1) as f64;
+        let share = self.settings.initial_capacity_share;
+        if s.entry.started_at == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
     }
 
     /// Against pushing a cold server over: it gets a part of its keys that grows as it warms, the same
@@ -21,16 +22,16 @@
         let warmth = self.warmth(s);
         let room = |(level, depth)| level < depth;
         // A hot key would come from all balancers at once, from each within its bucket.
-        let hot = || self.recent.iter().take(HOT).filter(|(recent, _)| *recent == key).count() > 1;
-        warmth >= 1.0 || (unit_hash(key, s.line.id, 1) < warmth && room(self.cold_bucket(s)) && !hot())
+        let hot = || self.recent_requests.iter().take(HOT).filter(|(recent, _)| *recent == key).count() > 1;
+        warmth >= 1.0 || (unit_hash(key, s.entry.id, 1) < warmth && room(self.cold_bucket(s)) && !hot())
     }
 
     /// Level and depth of the bucket of attempts at a server, as cold as it is. Of many balancers the part of
     /// each is less than one attempt: it begins with a random part of one owed, else the first attempts of
     /// all would come at once and push the server over.
     pub(super) fn cold_bucket(&self, s: &Server) -> (f64, f64) {
-        let rate = COLD_RATE * self.warmth(s) * self.share() * self.weight(s) / self.total / 1e6;
-        let level = s.cold.0 - rate * (self.now - s.cold.1) as f64;
-        (level.max(0.0), 1.0 + rate * self.settings.fall_after as f64 / 2.0)
+        let rate = COLD_RATE * self.warmth(s) * self.share() * self.weight(s) / self.total_weight / 1e6;
+        let level = s.slow_start_bucket.0 - rate * (self.now - s.slow_start_bucket.1) as f64;
+        (level.max(0.0), 1.0 + rate * self.settings.crash_load_time as f64 / 2.0)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,26 +16,32 @@
 }
 
 pub fn settings() -> Settings {
-    let read = Class { aim: 750 * MS, deadline: 1500 * MS, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, window: 200 * MS };
-    let write = Class { aim: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
-    let once =
-        Class { aim: 300 * MS, deadline: SECOND, effect: Effect::Unsafe, worth: 8.0, ..Class::default() };
+    let read = Class { latency_target: 750 * MS, deadline: 1500 * MS, ..Class::default() };
+    let keyed = Idempotency::Deduplicated { scope: DedupScope::All, window: 200 * MS };
+    let write =
+        Class { latency_target: 150 * MS, deadline: 300 * MS, idempotency: keyed, ..Class::default() };
+    let once = Class {
+        latency_target: 300 * MS,
+        deadline: SECOND,
+        idempotency: Idempotency::NonIdempotent,
+        on_time_value: 8.0,
+        ..Class::default()
+    };
     Settings {
         classes: vec![read, write, once],
-        origin_kind: Some(ORIGIN_KIND),
+        origin_machine_type: Some(ORIGIN_KIND),
         max_attempts: 4,
         connect_timeout: 20 * MS,
         ..Settings::default()
     }
 }
 
-pub fn server(id: ServerId) -> ServerLine {
-    ServerLine { id, ..ServerLine::default() }
+pub fn server(id: ServerId) -> ServerEntry {
+    ServerEntry { id, ..ServerEntry::default() }
 }
 
-pub fn origin() -> ServerLine {
-    ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() }
+pub fn origin() -> ServerEntry {
+    ServerEntry { id: ORIGIN, machine_type: ORIGIN_KIND, ..ServerEntry::default() }
 }
 
 pub fn read(id: RequestId, key: Key) -> Request {
@@ -62,7 +68,7 @@
     }
 
     /// A node round a policy that is told of these servers as it starts.
-    pub fn of(policy: Policy, servers: Vec<ServerLine>) -> Self {
+    pub fn of(policy: Policy, servers: Vec<ServerEntry>) -> Self {
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
         node.list(ListKind::Cached, servers);
         node
@@ -73,7 +79,7 @@
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         for action in &out {
-            if let Action::Timer { after, .. } = action {
+            if let Action::Timer { delay: after, .. } = action {
                 self.timers.push(self.now + after.max(&1));
             }
         }
@@ -81,7 +87,7 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerLine>) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerEntry>) -> Vec<Action> {
         self.event(Event::ServerList { kind, servers })
     }
 
@@ -96,9 +102,18 @@
         server: ServerId,
         status: Status,
     ) -> Vec<Action> {
-        let over = status == Status::Served;
-        let (note, load) = (Note::None, Load::default());
-        let outcome = Outcome { request, attempt, server, status, over, note, took: MS, load };
+        let over = status == Status::Success;
+        let (note, load) = (CacheLookup::NotReported, LoadReport::default());
+        let outcome = Outcome {
+            request,
+            attempt,
+            server,
+            status,
+            request_finished: over,
+            lookup: note,
+            elapsed: MS,
+            load,
+        };
         self.event(Event::Outcome(outcome))
     }
 
--- a/tests/discovery_calls.rs
+++ b/tests/discovery_calls.rs
@@ -9,9 +9,14 @@
 use pondproxy::*;
 
 /// When each of so many balancers, told the same at the same instant, next calls discovery, from then on.
-fn next_calls(balancers: u32, servers: Vec<ServerLine>, fails: Option<(CallFailure, Micros)>) -> Vec<Micros> {
+fn next_calls(
+    balancers: u32,
+    servers: Vec<ServerEntry>,
+    fails: Option<(DiscoveryFailure, Micros)>,
+) -> Vec<Micros> {
     let call = |me: u32| {
-        let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+        let config =
+            Settings { balancer_count: balancers, balancer_index: me, pull_discovery: true, ..settings() };
         let mut node = Node::of(Policy::new(config, u64::from(me) + 1), servers.clone());
         let first = until_call(&mut node);
         let Some((failure, unheard)) = fails else { return first };
@@ -35,8 +40,8 @@
 }
 
 /// Tells a balancer that its call has failed.
-fn fail(node: &mut Node, failure: CallFailure, unheard: Micros) -> Vec<Action> {
-    node.event(Event::DiscoveryFailed { failure, unheard })
+fn fail(node: &mut Node, failure: DiscoveryFailure, unheard: Micros) -> Vec<Action> {
+    node.event(Event::DiscoveryFailed { failure, since_last_contact: unheard })
 }
 
 /// The most calls within a second.
@@ -51,7 +56,8 @@
 #[test]
 fn many_balancers_that_start_or_fail_together_do_not_call_discovery_together() {
     let servers = || vec![server(1), origin()];
-    let failures = [CallFailure::Unreachable, CallFailure::Failed].map(|failure| Some((failure, 0)));
+    let failures =
+        [DiscoveryFailure::Unreachable, DiscoveryFailure::Failed].map(|failure| Some((failure, 0)));
     for fails in [None, failures[0], failures[1]] {
         for (balancers, bound) in [(100, 40), (300, 90)] {
             let calls = next_calls(balancers, servers(), fails);
@@ -70,15 +76,20 @@
 fn however_a_call_ended_the_next_comes_in_time_for_what_discovery_may_have_had_since() {
     for balancers in [3, 30, 300] {
         for me in 0..balancers.min(30) {
-            let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+            let config = Settings {
+                balancer_count: balancers,
+                balancer_index: me,
+                pull_discovery: true,
+                ..settings()
+            };
             let mut node = Node::of(Policy::new(config, u64::from(me) + 1), vec![server(1), origin()]);
             until_call(&mut node);
             for round in 0..20 {
                 let (failure, took) = match (me + round) % 4 {
-                    0 => (CallFailure::Unreachable, 0),
-                    1 => (CallFailure::Unreachable, SECOND),
-                    2 => (CallFailure::Failed, SECOND),
-                    _ => (CallFailure::Silent, 2_500 * MS),
+                    0 => (DiscoveryFailure::Unreachable, 0),
+                    1 => (DiscoveryFailure::Unreachable, SECOND),
+                    2 => (DiscoveryFailure::Failed, SECOND),
+                    _ => (DiscoveryFailure::TimedOut, 2_500 * MS),
                 };
                 node.pass(took);
                 fail(&mut node, failure, took);
@@ -91,17 +102,17 @@
 
 #[test]
 fn a_list_begins_the_time_for_the_next_call_anew_and_one_call_stands_for_all_that_were_asked_for() {
-    let config = Settings { balancers: 300, ask_discovery: true, ..settings() };
+    let config = Settings { balancer_count: 300, pull_discovery: true, ..settings() };
     let mut node = Node::of(Policy::new(config, 1), vec![server(1), origin()]);
     until_call(&mut node);
-    fail(&mut node, CallFailure::Failed, 0);
+    fail(&mut node, DiscoveryFailure::Failed, 0);
     node.event(Event::DiscoveryMoved);
-    fail(&mut node, CallFailure::Failed, 0);
+    fail(&mut node, DiscoveryFailure::Failed, 0);
     let calls = node.pass(20 * SECOND).into_iter().filter(|a| *a == Action::Subscribe(true)).count();
     assert_eq!(calls, 1, "discovery pays for each");
     let mut waits = (0..40).map(|_| {
         node.list(ListKind::Full, vec![server(1), origin()]);
-        fail(&mut node, CallFailure::Failed, 0);
+        fail(&mut node, DiscoveryFailure::Failed, 0);
         until_call(&mut node)
     });
     assert!(waits.any(|wait| wait > 3 * SECOND), "all of the time is used again");
@@ -110,14 +121,14 @@
 #[test]
 fn a_silent_discovery_is_called_again_before_what_it_missed_counts_as_told_however_many_balancers_there_are()
 {
-    let silent = (CallFailure::Silent, 2_500 * MS);
+    let silent = (DiscoveryFailure::TimedOut, 2_500 * MS);
     let calls = next_calls(300, vec![server(1), origin()], Some(silent));
     assert!(calls[299] <= 3_000 * MS + MS, "of 6 s since it fell silent, 2.5 s are gone: {calls:?}");
     assert!(calls[299] - calls[0] > SECOND, "and yet not all at once");
     let few = next_calls(3, vec![server(1), origin()], Some(silent));
     assert!(few.iter().all(|at| *at < 150 * MS), "few have no need to wait: {few:?}");
     // One that is silent time after time is as good as down.
-    let config = Settings { ask_discovery: true, ..settings() };
+    let config = Settings { pull_discovery: true, ..settings() };
     let mut node = Node::new(config, 3);
     let waits = [0; 3].map(|_| {
         node.actions.clear();
@@ -131,12 +142,19 @@
 /// a move 4 s later: a call has to be made shortly before that, and not only so long after the one before.
 #[test]
 fn a_small_fleet_calls_shortly_before_what_it_has_not_heard_counts_as_notified() {
-    let failures = [(CallFailure::Silent, 2_500 * MS), (CallFailure::Failed, 0), (CallFailure::CutOff, 0)];
+    let failures = [
+        (DiscoveryFailure::TimedOut, 2_500 * MS),
+        (DiscoveryFailure::Failed, 0),
+        (DiscoveryFailure::Interrupted, 0),
+    ];
     for (balancers, me) in [(1, 0), (3, 1), (6, 0), (6, 3), (9, 7)] {
         for seed in 1..40 {
             for (failure, unheard) in failures {
                 let by = CALL_BY - unheard;
-                let calls = calls_after((balancers, me, seed), Event::DiscoveryFailed { failure, unheard });
+                let calls = calls_after(
+                    (balancers, me, seed),
+                    Event::DiscoveryFailed { failure, since_last_contact: unheard },
+                );
                 let last = calls.iter().rev().find(|at| **at <= by + MS).expect("a call in time");
                 assert!(*last + 2 * SECOND >= by, "{balancers}, {failure:?}: {calls:?}, due by {by}");
             }
@@ -149,7 +167,8 @@
 
 /// When a balancer calls in the next ten seconds, where each call is turned away 20 ms later.
 fn calls_after((balancers, me, seed): (u32, u32, u64), event: Event) -> Vec<Micros> {
-    let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+    let config =
+        Settings { balancer_count: balancers, balancer_index: me, pull_discovery: true, ..settings() };
     let mut node = Node::of(Policy::new(config, seed), vec![server(1), origin()]);
     until_call(&mut node);
     node.list(ListKind::Full, vec![server(1), origin()]);
@@ -163,7 +182,7 @@
         calls.push(node.now - begun);
         node.pass(20 * MS);
         node.actions.clear();
-        fail(&mut node, CallFailure::Failed, 20 * MS);
+        fail(&mut node, DiscoveryFailure::Failed, 20 * MS);
     }
     calls
 }
@@ -172,19 +191,19 @@
 /// written. There is the grace of a drain for another call and its wait in line.
 #[test]
 fn after_a_watch_that_was_cut_off_a_small_fleet_calls_again_well_within_the_grace_of_a_drain() {
-    let cut_off = Some((CallFailure::CutOff, 0));
-    let grace = settings().drain_grace;
+    let cut_off = Some((DiscoveryFailure::Interrupted, 0));
+    let grace = settings().drain_grace_time;
     for balancers in [1, 3, 6, 8] {
         let calls = next_calls(balancers, vec![server(1), origin()], cut_off);
         assert!(calls[calls.len() - 1] <= grace / 4 + MS, "{balancers}: {calls:?}, the grace is {grace}");
     }
     let many = next_calls(300, vec![server(1), origin()], cut_off);
     assert!(most(&many) <= 90, "a large fleet may be cut off all at once, and must not call at once");
-    let config = Settings { balancers: 6, ask_discovery: true, ..settings() };
+    let config = Settings { balancer_count: 6, pull_discovery: true, ..settings() };
     let mut node = Node::of(Policy::new(config, 1), vec![server(1), origin()]);
     let waits = [0; 4].map(|_| {
         node.actions.clear();
-        fail(&mut node, CallFailure::CutOff, 0);
+        fail(&mut node, DiscoveryFailure::Interrupted, 0);
         until_call(&mut node)
     });
     assert!(waits[2] > 500 * MS, "one that is cut off time after time is called less often: {waits:?}");
@@ -194,7 +213,12 @@
 fn many_balancers_that_are_told_at_once_of_a_new_discovery_do_not_call_it_together() {
     let calls = |balancers: u32| {
         let call = |me: u32| {
-            let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+            let config = Settings {
+                balancer_count: balancers,
+                balancer_index: me,
+                pull_discovery: true,
+                ..settings()
+            };
             let mut node = Node::of(Policy::new(config, u64::from(me) + 1), vec![server(1), origin()]);
             node.pass(20 * SECOND);
             node.actions.clear();
@@ -214,11 +238,11 @@
 
 #[test]
 fn a_failed_call_to_discovery_is_repeated_later_and_not_at_once() {
-    let config = Settings { ask_discovery: true, ..settings() };
+    let config = Settings { pull_discovery: true, ..settings() };
     let mut node = Node::new(config, 3);
     assert!(node.actions.contains(&Action::Subscribe(true)), "subscribes at the start");
     node.actions.clear();
-    fail(&mut node, CallFailure::Failed, 0);
+    fail(&mut node, DiscoveryFailure::Failed, 0);
     assert!(!node.actions.contains(&Action::Subscribe(true)));
     assert!(node.pass(2 * SECOND).contains(&Action::Subscribe(true)));
     assert!(sent_to(&node.request(read(1, 9))).is_some(), "the old list stays in force");
@@ -267,13 +291,14 @@
     for_s: u64,
 ) -> (Vec<Micros>, usize) {
     let start = |me| {
-        let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+        let config =
+            Settings { balancer_count: balancers, balancer_index: me, pull_discovery: true, ..settings() };
         let mut node = Node::of(Policy::new(config, u64::from(me) + 1), vec![server(1), origin()]);
         until_call(&mut node);
         node.list(ListKind::Full, vec![server(1), origin()]);
         node.pass(100 * SECOND - node.now);
         node.actions.clear();
-        fail(&mut node, CallFailure::Failed, 0);
+        fail(&mut node, DiscoveryFailure::Failed, 0);
         node
     };
     let mut fleet: Vec<_> = (0..balancers).map(start).collect();
@@ -293,13 +318,13 @@
         }
         // Turned away, however long the line is, when they have waited for long enough.
         while let Some((node, called)) = waiting.pop_front_if(|(_, called)| *called + limit <= now) {
-            fail(&mut fleet[node], CallFailure::Failed, now - called);
+            fail(&mut fleet[node], DiscoveryFailure::Failed, now - called);
         }
         for (number, node) in fleet.iter_mut().enumerate() {
             if node.pass(now - node.now).contains(&Action::Subscribe(true)) {
                 match down {
                     _ if now >= back => discovery.line.push_back((number, now)),
-                    Down::Refuses => drop(fail(node, CallFailure::Unreachable, 0)),
+                    Down::Refuses => drop(fail(node, DiscoveryFailure::Unreachable, 0)),
                     Down::LetsWait => waiting.push_back((number, now)),
                 }
             }
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -85,14 +85,15 @@
 
 impl Balancer {
     fn start(balancers: u32, me: u32, seed: u64, first_move: Micros) -> Balancer {
-        let config = Settings { balancers, me, ask_discovery: true, ..settings() };
+        let config =
+            Settings { balancer_count: balancers, balancer_index: me, pull_discovery: true, ..settings() };
         let policy = Policy::new(config, seed * u64::from(balancers) + u64::from(me) + 1);
         let mut node = Node::of(policy, vec![server(1), origin()]);
         node.pass(SECOND);
         node.list(ListKind::Full, vec![server(1), origin()]);
         node.pass(DOWN - node.now);
         node.actions.clear();
-        node.event(Event::DiscoveryFailed { failure: CallFailure::Failed, unheard: 0 });
+        node.event(Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 });
         let moves = MOVES.map(|after| first_move + after).to_vec();
         Balancer { node, moves, current: None, former: Vec::new(), notified: None }
     }
@@ -123,7 +124,10 @@
         } else if call.moved.is_none() {
             let unheard = now - call.begun;
             self.current = None;
-            self.node.event(Event::DiscoveryFailed { failure: CallFailure::Failed, unheard });
+            self.node.event(Event::DiscoveryFailed {
+                failure: DiscoveryFailure::Failed,
+                since_last_contact: unheard,
+            });
         }
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -47,18 +47,27 @@
 fn elsewhere(share: f64, held: f32, wait: Micros) -> usize {
     let (balancers, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * share }]);
     let load_fields = vec![LoadField::InFlight];
-    let mut node = Node::new(Settings { balancers, tenants, load_fields, ..settings() }, 4);
+    let mut node = Node::new(Settings { balancer_count: balancers, tenants, load_fields, ..settings() }, 4);
     let first = sent_to(&node.request(read(100, 9))).unwrap();
-    let load = Load { count: 1, values: [held, 0.0, 0.0, 0.0] };
-    let (request, server, status, note) = (100, first, Status::Served, Note::Hit);
-    let outcome = Outcome { request, attempt: 0, server, status, over: true, note, took: MS, load };
+    let load = LoadReport { count: 1, values: [held, 0.0, 0.0, 0.0] };
+    let (request, server, status, note) = (100, first, Status::Success, CacheLookup::Hit);
+    let outcome = Outcome {
+        request,
+        attempt: 0,
+        server,
+        status,
+        request_finished: true,
+        lookup: note,
+        elapsed: MS,
+        load,
+    };
     node.event(Event::Outcome(outcome));
     node.pass(wait);
     let mut elsewhere = 0;
     for id in 101..=120 {
         let to = sent_to(&node.request(read(id, 9))).unwrap();
         elsewhere += usize::from(to != first);
-        node.outcome(id, 0, to, Status::Served);
+        node.outcome(id, 0, to, Status::Success);
     }
     elsewhere
 }
@@ -85,7 +94,7 @@
 /// many more, each to a read of its own.
 fn refused_by_its_server(share: f64, times: u64) -> (Node, ServerId) {
     let (balancers, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * share }]);
-    let mut node = Node::new(Settings { balancers, tenants, ..settings() }, 4);
+    let mut node = Node::new(Settings { balancer_count: balancers, tenants, ..settings() }, 4);
     let first = sent_to(&node.request(read(100, 9))).unwrap();
     node.outcome(100, 0, first, Status::ConnectFailed);
     for id in 101..100 + times {
@@ -112,14 +121,14 @@
 /// A node that knows zone 0 (servers 1 to 6) and zone 1 (servers 7 to 12), and a key of each server.
 fn two_zones() -> (Node, Vec<Key>) {
     let (balancers, tenants) = (100, vec![Tenant { quota_per_s: 1_000.0 }]);
-    let config = Settings { balancers, tenants, ..settings() };
-    let mut lines: Vec<_> = (1..=12).map(|id| ServerLine { zone: u8::from(id > 6), ..server(id) }).collect();
+    let config = Settings { balancer_count: balancers, tenants, ..settings() };
+    let mut lines: Vec<_> = (1..=12).map(|id| ServerEntry { zone: u8::from(id > 6), ..server(id) }).collect();
     lines.push(origin());
     let mut node = Node::of(Policy::new(config, 7), lines);
     let mut keys = vec![0; 12];
     for key in 1..=200 {
         let first = sent_to(&node.request(read(key, key))).unwrap();
-        node.outcome(key, 0, first, Status::Served);
+        node.outcome(key, 0, first, Status::Success);
         keys[first as usize - 1] = key;
         node.pass(100 * MS);
     }
@@ -140,13 +149,13 @@
         assert_eq!(sends(&early), 0);
         if answers {
             assert_eq!(sent_to(&node.request(read(1_010, keys[11]))), Some(12));
-            node.outcome(1_010, 0, 12, Status::Served);
+            node.outcome(1_010, 0, 12, Status::Success);
         }
         let again = sends(&node.pass(50 * MS));
         assert_eq!(again, if answers { 0 } else { 4 }, "sent again, zone 1 answers: {answers}");
         let next = sent_to(&node.request(read(1_020, keys[11]))).unwrap();
         assert_eq!(next <= 6, !answers, "a server that has not failed itself: {next}");
-        node.outcome(1_020, 0, next, Status::Served);
+        node.outcome(1_020, 0, next, Status::Success);
         node.pass(10 * SECOND);
         assert_eq!(sent_to(&node.request(read(1_030, keys[10]))), Some(11), "the zone is tried again");
     }
@@ -156,7 +165,7 @@
 fn a_server_that_fails_what_it_holds_is_set_aside_though_it_still_says_what_it_lacks() {
     let failures = |share: f64| {
         let (balancers, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * share }]);
-        let mut node = Node::new(Settings { balancers, tenants, ..settings() }, 4);
+        let mut node = Node::new(Settings { balancer_count: balancers, tenants, ..settings() }, 4);
         let first = sent_to(&node.request(read(100, 9))).unwrap();
         let mut failures = 0;
         for id in 0..10 {
@@ -177,23 +186,31 @@
 #[test]
 fn a_read_is_refused_at_once_where_servers_report_queues_that_it_would_be_late_in() {
     let tenants = vec![Tenant { quota_per_s: 500.0 }];
-    let base = Settings { balancers: 100, weights_are_sizes: true, tenants, ..settings() };
+    let base = Settings { balancer_count: 100, weights_are_capacities: true, tenants, ..settings() };
     let mut node = Node::of(
         Policy::new(Settings { load_fields: vec![LoadField::InFlight], ..base }, 7),
-        vec![ServerLine { weight: 4.0, ..server(1) }, origin()],
+        vec![ServerEntry { weight: 4.0, ..server(1) }, origin()],
     );
     for (id, held, full) in [(1, 4.0, false), (2, 16.0, false), (3, 120.0, true), (4, 0.0, false)] {
         assert_eq!(sent_to(&node.request(read(id, 9))), Some(1));
         node.pass(100 * MS);
-        let load = Load { count: 1, values: [held, 0.0, 0.0, 0.0] };
-        let (status, note) = (Status::Served, Note::Hit);
-        let outcome =
-            Outcome { request: id, attempt: 0, server: 1, status, over: true, note, took: MS, load };
+        let load = LoadReport { count: 1, values: [held, 0.0, 0.0, 0.0] };
+        let (status, note) = (Status::Success, CacheLookup::Hit);
+        let outcome = Outcome {
+            request: id,
+            attempt: 0,
+            server: 1,
+            status,
+            request_finished: true,
+            lookup: note,
+            elapsed: MS,
+            load,
+        };
         node.event(Event::Outcome(outcome));
         // A full server is asked again once its report has faded.
         let answer = node.request(read(100 + id, 9));
         assert_eq!(refused(&answer, 100 + id), full, "{held} held by four cores, 100 ms each");
-        node.outcome(100 + id, 0, 1, Status::Served);
+        node.outcome(100 + id, 0, 1, Status::Success);
         node.pass(4 * SECOND);
     }
 }
@@ -202,14 +219,14 @@
 fn a_server_that_has_answered_nothing_since_a_nearly_late_attempt_is_presumed_crowded() {
     let goes_back = |wait: Micros| {
         let tenants = vec![Tenant { quota_per_s: 500.0 }];
-        let config = Settings { balancers: 100, weights_are_sizes: true, tenants, ..settings() };
-        let mut lines: Vec<_> = (1..=4).map(|id| ServerLine { weight: 4.0, ..server(id) }).collect();
+        let config = Settings { balancer_count: 100, weights_are_capacities: true, tenants, ..settings() };
+        let mut lines: Vec<_> = (1..=4).map(|id| ServerEntry { weight: 4.0, ..server(id) }).collect();
         lines.push(origin());
         let mut node = Node::of(Policy::new(config, 7), lines);
         node.pass(10 * SECOND);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         node.pass(20 * MS);
-        node.outcome(1, 0, first, Status::Served);
+        node.outcome(1, 0, first, Status::Success);
         node.pass(MS);
         // Of a class that is sent no second copy; its aim is 150 ms, and answers take 20 ms.
         let asked = Request { class: 1, time_left: 300 * MS, ..read(2, 9) };
@@ -219,7 +236,7 @@
         (3..=6)
             .filter(|id| {
                 let to = sent_to(&node.request(read(*id, 9))).unwrap();
-                node.outcome(*id, 0, to, Status::Served);
+                node.outcome(*id, 0, to, Status::Success);
                 to == first
             })
             .count()
@@ -233,7 +250,11 @@
     // Found on join+mass: one key was 15% of the work, and its server was left to one in 300 balancers after
     // the other.
     let servers_of = |balancers: u32, servers: u32, key: Key, cost: Micros| {
-        let config = Settings { balancers, tenants: vec![Tenant { quota_per_s: 3600.0 }], ..settings() };
+        let config = Settings {
+            balancer_count: balancers,
+            tenants: vec![Tenant { quota_per_s: 3600.0 }],
+            ..settings()
+        };
         let mut node = Node::new(config, servers);
         let mut used = std::collections::BTreeSet::new();
         for id in 1..=1000 {
@@ -241,8 +262,8 @@
             // Every tenth request is for one key, all others are for a key of their own.
             let key = if id % 10 == 0 { key } else { 1000 + id };
             let cost = Some(if id % 10 == 0 { cost } else { 50 * MS });
-            let to = sent_to(&node.request(Request { cost, ..read(id, key) })).unwrap();
-            node.outcome(id, 0, to, Status::Served);
+            let to = sent_to(&node.request(Request { expected_work: cost, ..read(id, key) })).unwrap();
+            node.outcome(id, 0, to, Status::Success);
             used.extend((id > 500 && id % 10 == 0).then_some(to));
         }
         used.len()
@@ -259,13 +280,13 @@
 #[test]
 fn a_key_asked_for_now_and_then_stays_at_its_server() {
     let tenants = vec![Tenant { quota_per_s: 3600.0 }];
-    let mut node = Node::new(Settings { balancers: 300, tenants, ..settings() }, 160);
+    let mut node = Node::new(Settings { balancer_count: 300, tenants, ..settings() }, 160);
     let mut at = std::collections::BTreeMap::new();
     for id in 1..=1600 {
         node.now += 60 * MS;
         let key = 1 + id % 160;
         let to = sent_to(&node.request(read(id, key))).unwrap();
-        node.outcome(id, 0, to, Status::Served);
+        node.outcome(id, 0, to, Status::Success);
         assert_eq!(*at.entry(key).or_insert(to), to, "one in 160 for as many servers");
     }
 }
@@ -274,7 +295,7 @@
 fn a_skip_is_held_back_while_the_origin_has_no_room_for_the_fetch_it_costs() {
     // Incidents ia996fa (the origin had room, queues at few servers) and iaa6bb1 (the gate refused).
     let taken = |pressed: bool| {
-        let mut node = Node::new(Settings { balancers: 8, ..settings() }, 4);
+        let mut node = Node::new(Settings { balancer_count: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| pressed) {
             node.request(write(id, 1));
         }
@@ -303,7 +324,7 @@
         through += sends(&node.request(write(id, 1)));
     }
     assert_eq!(through, 10, "a balancer just started lets half of its twenty calls out");
-    let answers = node.outcome(1, 0, ORIGIN, Status::Served);
+    let answers = node.outcome(1, 0, ORIGIN, Status::Success);
     assert_eq!(sends(&answers), 0, "a postponed call waits for its delay");
     assert_eq!(sends(&node.pass(8 * MS)), 1, "an outcome lowers the counter and one more call goes");
     let later = node.pass(SECOND);
@@ -315,12 +336,12 @@
 fn the_windowed_tally_holds_calls_that_the_outstanding_cap_would_let_through() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
-    config.balancers = 1;
+    config.balancer_count = 1;
     let mut node = Node::new(config, 3);
     let mut through = 0;
     for id in 1..=25 {
         through += sends(&node.request(write(id, 2)));
-        node.outcome(id, 0, ORIGIN, Status::Served);
+        node.outcome(id, 0, ORIGIN, Status::Success);
     }
     assert_eq!(through, 18, "in a quarter of the longest aim, 187 ms, 18.75 of 100 a second");
 }
@@ -329,7 +350,7 @@
 fn a_few_misses_at_once_are_all_fetched_by_one_of_many_balancers() {
     // Found on roll+mass: two in five fetches waited, as a part of 30 a second is 3 in a tenth of a second.
     let tenants = vec![Tenant { quota_per_s: 3600.0 }];
-    let mut node = Node::new(Settings { balancers: 300, tenants, ..settings() }, 3);
+    let mut node = Node::new(Settings { balancer_count: 300, tenants, ..settings() }, 3);
     let fetched = (1..=6).filter(|id| {
         let first = sent_to(&node.request(read(*id, 100 + id))).unwrap();
         sent_to(&node.outcome(*id, 0, first, Status::Miss)) == Some(ORIGIN)
@@ -347,7 +368,7 @@
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
         let fetch = node.outcome(id, 0, first, Status::Miss);
         fetched += sends(&fetch);
-        node.outcome(id, 1, ORIGIN, Status::Served);
+        node.outcome(id, 1, ORIGIN, Status::Success);
         fetched += sends(&node.pass(SECOND / 60));
     }
     assert!(fetched >= 95, "six in ten of the quota a second, {fetched} of 100 fetched");
@@ -370,7 +391,7 @@
         let mut node = Node::new(Settings { max_attempts: 1, tenants, ..settings() }, 3);
         for id in 1..=12 {
             node.request(write(id, 1));
-            node.outcome(id, 0, ORIGIN, Status::Full);
+            node.outcome(id, 0, ORIGIN, Status::Rejected);
             node.pass(MS);
         }
         node.pass(SECOND);
@@ -384,7 +405,7 @@
     for id in 100..190 {
         node.pass(50 * MS);
         node.request(write(id, 1));
-        node.outcome(id, 0, ORIGIN, Status::Served);
+        node.outcome(id, 0, ORIGIN, Status::Success);
     }
     assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("gate restored"))));
 }
@@ -409,11 +430,11 @@
 fn full_and_failed_connects_go_on_along_the_order_at_once() {
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let second = sent_to(&node.outcome(1, 0, first, Status::Full)).unwrap();
+    let second = sent_to(&node.outcome(1, 0, first, Status::Rejected)).unwrap();
     let third = sent_to(&node.outcome(1, 1, second, Status::ConnectFailed)).unwrap();
     assert!(first != second && second != third && first != third);
-    let fourth = sent_to(&node.outcome(1, 2, third, Status::Full)).unwrap();
-    let last = node.outcome(1, 3, fourth, Status::Full);
+    let fourth = sent_to(&node.outcome(1, 2, third, Status::Rejected)).unwrap();
+    let last = node.outcome(1, 3, fourth, Status::Rejected);
     assert!(refused(&last, 1), "no attempts are left");
 }
 
@@ -446,7 +467,7 @@
 fn an_unsafe_request_is_sent_again_only_when_it_is_known_not_to_have_run() {
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: SECOND, ..write(1, 2) });
-    node.outcome(1, 0, ORIGIN, Status::Full);
+    node.outcome(1, 0, ORIGIN, Status::Rejected);
     assert_eq!(sends(&node.pass(100 * MS)), 1, "turned away unseen: may go again");
     let answer = node.outcome(1, 1, ORIGIN, Status::Reset);
     assert!(failed(&answer, 1) && sends(&answer) == 0, "may have run: failed, nothing sent");
@@ -454,7 +475,7 @@
 
 #[test]
 fn spoilt_answers_and_broken_connections_are_tried_again_however_many_and_harm_no_healthy_server() {
-    for status in [Status::Spoilt, Status::Reset] {
+    for status in [Status::Malformed, Status::Reset] {
         let mut node = Node::new(settings(), 4);
         for id in 1..=40 {
             let first = sent_to(&node.request(read(id, id))).unwrap();
@@ -462,12 +483,12 @@
             assert_eq!(first, again, "where the key is held");
             let next = sent_to(&node.outcome(id, 1, again, status)).expect("and again");
             assert_ne!(first, next, "but not for ever");
-            node.outcome(id, 2, next, Status::Served);
+            node.outcome(id, 2, next, Status::Success);
             // What it is asked for otherwise is answered well.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
                 assert_eq!(server, first, "neither set aside nor taken for cold");
-                node.outcome(100 * id + good, 0, server, Status::Served);
+                node.outcome(100 * id + good, 0, server, Status::Success);
             }
         }
     }
@@ -485,7 +506,7 @@
     }
     node.pass(SECOND);
     node.request(read(500, 9));
-    node.outcome(500, 0, 1, Status::Served);
+    node.outcome(500, 0, 1, Status::Success);
     let sent = (501..=560).filter(|id| sent_to(&node.request(read(*id, *id))).is_some()).count();
     assert!(sent >= 30, "{sent} of 60: a cold one would get a part of its keys");
 }
@@ -494,12 +515,12 @@
 fn a_keyed_write_whose_answer_was_spoilt_goes_again_while_its_repeat_is_dropped_and_an_unsafe_one_fails() {
     let mut node = Node::new(settings(), 4);
     node.request(write(1, 1));
-    assert_eq!(sent_to(&node.outcome(1, 0, ORIGIN, Status::Spoilt)), Some(ORIGIN));
+    assert_eq!(sent_to(&node.outcome(1, 0, ORIGIN, Status::Malformed)), Some(ORIGIN));
     node.request(write(2, 1));
     node.pass(190 * MS);
-    assert!(failed(&node.outcome(2, 0, ORIGIN, Status::Spoilt), 2), "no longer dropped for sure");
+    assert!(failed(&node.outcome(2, 0, ORIGIN, Status::Malformed), 2), "no longer dropped for sure");
     node.request(write(3, 2));
-    assert!(failed(&node.outcome(3, 0, ORIGIN, Status::Spoilt), 3));
+    assert!(failed(&node.outcome(3, 0, ORIGIN, Status::Malformed), 3));
 }
 
 #[test]
@@ -519,7 +540,7 @@
     let mut node = Node::new(settings(), 4);
     for id in 1..=30 {
         node.request(write(id, 2));
-        node.outcome(id, 0, ORIGIN, if id % 2 == 0 { Status::Spoilt } else { Status::Reset });
+        node.outcome(id, 0, ORIGIN, if id % 2 == 0 { Status::Malformed } else { Status::Reset });
         node.pass(100 * MS);
     }
     assert!(!node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("gate lowered"))));
@@ -528,15 +549,15 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_is_gone_or_left_the_list() {
     for (kind, condition) in [
-        (ListKind::Delta, Condition::Draining),
-        (ListKind::Delta, Condition::Gone),
-        (ListKind::Full, Condition::Gone),
+        (ListKind::Delta, ServerState::Draining),
+        (ListKind::Delta, ServerState::Removed),
+        (ListKind::Full, ServerState::Removed),
     ] {
         let mut node = Node::new(settings(), 3);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         let lines = match kind {
             ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
-            _ => vec![ServerLine { condition, ..server(first) }],
+            _ => vec![ServerEntry { state: condition, ..server(first) }],
         };
         node.list(kind, lines);
         for id in 2..=40 {
@@ -551,8 +572,8 @@
     for id in 1..=11 {
         node.request(write(id, 1));
     }
-    node.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..origin() }]);
-    node.outcome(1, 0, ORIGIN, Status::Served);
+    node.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Draining, ..origin() }]);
+    node.outcome(1, 0, ORIGIN, Status::Success);
     let after = node.pass(SECOND);
     assert_eq!(sends(&after), 0);
     assert!(refused(&after, 11));
@@ -563,14 +584,14 @@
     let share_at = |age: Micros| {
         let mut node = Node::new(settings(), 4);
         let started = node.now;
-        node.list(ListKind::Delta, vec![ServerLine { started, ..server(2) }]);
+        node.list(ListKind::Delta, vec![ServerEntry { started_at: started, ..server(2) }]);
         node.now += age;
         let mut at_cold = 0;
         for id in 1..=2000 {
             node.now += 20 * MS / 100;
             let to = sent_to(&node.request(read(id, id))).unwrap();
             at_cold += usize::from(to == 2);
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, Status::Success);
         }
         at_cold as f64 / 500.0
     };
@@ -583,18 +604,19 @@
     // Found on join+mass: 80 of 300 balancers sent a cold server their first attempt within 1.5 s.
     let in_all = |balancers: u32| {
         let tenants = vec![Tenant { quota_per_s: 200.0 }];
-        let config = Settings { balancers, cold_share: 0.2, tenants, ..settings() };
+        let config =
+            Settings { balancer_count: balancers, initial_capacity_share: 0.2, tenants, ..settings() };
         let each = 6000 / u64::from(balancers);
         let mut at_cold = 0;
         for seed in 0..u64::from(balancers) {
             let mut node = Node::of(Policy::new(config.clone(), seed), (1..=4).map(server).collect());
-            node.list(ListKind::Delta, vec![ServerLine { started: node.now, ..server(4) }]);
+            node.list(ListKind::Delta, vec![ServerEntry { started_at: node.now, ..server(4) }]);
             // Many times what is usual, all within the time in which a cold server falls over.
             for id in 1..=each {
-                node.now += config.fall_after / each;
+                node.now += config.crash_load_time / each;
                 let to = sent_to(&node.request(read(id, seed * each + id)));
                 at_cold += usize::from(to == Some(4));
-                to.map(|to| node.outcome(id, 0, to, Status::Served));
+                to.map(|to| node.outcome(id, 0, to, Status::Success));
             }
         }
         at_cold
@@ -619,7 +641,7 @@
     node.pass(10 * SECOND);
     assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial");
     assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while it is out");
-    node.outcome(11, 0, victim, Status::Served);
+    node.outcome(11, 0, victim, Status::Success);
     assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "let back");
 }
 
@@ -660,7 +682,7 @@
     for id in 10..200 {
         let to = sent_to(&node.request(read(id, id))).unwrap();
         on_trial += usize::from(to == victim);
-        node.outcome(id, 0, to, Status::Served);
+        node.outcome(id, 0, to, Status::Success);
     }
     assert!((1..30).contains(&on_trial), "few while presumed cold: {on_trial} of about 48");
 }
@@ -699,7 +721,7 @@
     let mut node = Node::new(settings(), 4);
     let victim = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=8 {
-        let status = if id % 4 == 0 { Status::Served } else { Status::Error };
+        let status = if id % 4 == 0 { Status::Success } else { Status::Error };
         node.outcome(id, 0, victim, status);
         node.request(read(id + 1, 9));
     }
@@ -720,7 +742,7 @@
             asked[tenant] += 1;
             served[tenant] += sends(&answer);
         }
-        let (status, to) = (if id % 16 == 0 { Status::Full } else { Status::Served }, sent_to(&answer));
+        let (status, to) = (if id % 16 == 0 { Status::Rejected } else { Status::Success }, sent_to(&answer));
         if let Some(mut to) = to {
             let mut attempt = 0;
             while let Some(next) = sent_to(&node.outcome(id, attempt, to, status)) {
@@ -746,7 +768,7 @@
             let Some(to) = sent_to(&answer) else { continue };
             if id % 4 == 0 {
                 node.pass(20 * MS);
-                node.outcome(id, 0, to, Status::Served);
+                node.outcome(id, 0, to, Status::Success);
             } else {
                 node.pass(wait);
                 node.outcome(id, 0, to, Status::Cancelled);
@@ -773,7 +795,7 @@
         }
         while out.front().is_some_and(|(_, _, sent)| node.now - sent > 900 * MS) {
             let (id, to, _) = out.pop_front().unwrap();
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, Status::Success);
         }
     }
     // It also failed while one attempt was counted twice, at both of its marks.
@@ -794,7 +816,7 @@
         }
         if out.len() > 22 {
             let (id, to) = out.pop_front().unwrap();
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, Status::Success);
         }
     }
     let refusals = node.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
@@ -805,8 +827,8 @@
 fn balancers_send_each_other_nothing_and_bear_whatever_a_peer_says() {
     // Found at full size: what each of 515 told all others was 12,360 broadcasts in 18 s, and the day was lost.
     let mut config = settings();
-    (config.tenants, config.balancers) = (vec![Tenant { quota_per_s: 100.0 }], 4);
-    config.may_tell_peers = true;
+    (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
+    config.may_message_peers = true;
     let mut node = Node::new(config, 20);
     node.event(Event::PeerMessage { from: 1, bytes: vec![0xff; 300] });
     assert!(sent_to(&node.request(read(1, 9))).is_some());
@@ -819,7 +841,7 @@
     // The node's users want to be told when to come back. Found on big-1 of the first full-size day: who waited 2 s came back too late, was served for nothing and
     // took the token of a request in time.
     let hints = |max_retry_after: Micros| {
-        let mut config = Settings { max_retry_after, balancers: 400, ..settings() };
+        let mut config = Settings { max_retry_after, balancer_count: 400, ..settings() };
         config.tenants = vec![Tenant { quota_per_s: 1.0 }];
         let mut node = Node::just_started(config, 20);
         (1..=40).for_each(|id| {
@@ -840,7 +862,7 @@
 fn one_of_many_balancers_lets_a_tenant_within_its_quota_through_and_holds_one_three_times_over() {
     // Found at 515 balancers: a rate scaled up from one request a second turned away tenants within quotas.
     let config = Settings {
-        balancers: 500,
+        balancer_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
         may_duplicate: false,
         ..settings()
@@ -854,7 +876,7 @@
         (asked[tenant], sent[tenant]) = (asked[tenant] + 1, sent[tenant] + sends(&answer));
         if let Some(to) = sent_to(&answer) {
             node.pass(650 * MS * u64::from(id % 5 == 0)); // One in five nearly late: some strain.
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, Status::Success);
         }
     }
     assert!(sent[1] * 100 >= asked[1] * 95, "within its quota: {sent:?} of {asked:?}");
@@ -867,8 +889,9 @@
     // day, while servers were busy for a third of their time.
     let refused = |balancers: u32, busy: f32| {
         let tenants = vec![Tenant { quota_per_s: 2.0 * f64::from(balancers) }];
-        let load_fields = vec![LoadField::Busy];
-        let config = Settings { balancers, tenants, load_fields, may_duplicate: false, ..settings() };
+        let load_fields = vec![LoadField::CpuUtilization];
+        let config =
+            Settings { balancer_count: balancers, tenants, load_fields, may_duplicate: false, ..settings() };
         let mut node = Node::just_started(config, 70);
         let mut refused = 0;
         for id in 1..=200u64 {
@@ -877,9 +900,18 @@
             refused += usize::from(id > 100 && sends(&answer) == 0);
             let Some(server) = sent_to(&answer) else { continue };
             node.pass(350 * MS * u64::from(id % 4 == 0)); // One in four slow: some strain.
-            let load = Load { count: 1, values: [busy, 0.0, 0.0, 0.0] };
-            let (request, status, note) = (id, Status::Served, Note::Hit);
-            let outcome = Outcome { request, attempt: 0, server, status, over: true, note, took: MS, load };
+            let load = LoadReport { count: 1, values: [busy, 0.0, 0.0, 0.0] };
+            let (request, status, note) = (id, Status::Success, CacheLookup::Hit);
+            let outcome = Outcome {
+                request,
+                attempt: 0,
+                server,
+                status,
+                request_finished: true,
+                lookup: note,
+                elapsed: MS,
+                load,
+            };
             node.event(Event::Outcome(outcome));
         }
         refused
@@ -912,7 +944,7 @@
         let request = if write { self::write(id, 1) } else { read(id, id) };
         let server = sent_to(&node.request(request)).unwrap();
         node.pass(20 * MS);
-        node.outcome(id, 0, server, Status::Served);
+        node.outcome(id, 0, server, Status::Success);
     };
     (1..=20).for_each(|id| answer(&mut node, id, id % 2 == 0));
     node.request(read(100, 100));
@@ -922,7 +954,7 @@
     let sent =
         |id| again.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == id)).count();
     assert_eq!((sent(100), sent(101)), (1, 1), "{again:?}");
-    let done = node.outcome(100, 1, 1, Status::Served);
+    let done = node.outcome(100, 1, 1, Status::Success);
     assert!(done.contains(&Action::Cancel { request: 100, attempt: 0 }), "the silent one is given up");
 }
 
@@ -931,12 +963,12 @@
     // Found on r2906: an attempt was looked at for the last time at its aim, before six times what the server
     // takes had passed, and its request waited in vain until its end.
     let mut config = settings();
-    config.classes[0].late_worth = 0.3;
+    config.classes[0].late_value_fraction = 0.3;
     let mut node = Node::new(config, 1);
     let answer = |node: &mut Node, id: RequestId| {
         node.request(read(id, id));
         node.pass(200 * MS);
-        node.outcome(id, 0, 1, Status::Served);
+        node.outcome(id, 0, 1, Status::Success);
     };
     (1..=20).for_each(|id| answer(&mut node, id));
     node.request(read(100, 100));
@@ -957,7 +989,7 @@
         node.request(read(id, id));
         node.pass(100 * MS);
         if answered {
-            node.outcome(id, 0, 1, Status::Served);
+            node.outcome(id, 0, 1, Status::Success);
         }
         id
     };
@@ -982,7 +1014,7 @@
             for _ in 0..4 {
                 read_next(&mut node, true);
             }
-            node.outcome(id, 1, 1, Status::Served);
+            node.outcome(id, 1, 1, Status::Success);
         }
     }
     let lost = read_next(&mut node, false);
@@ -1004,7 +1036,7 @@
         let went = sent_to(&node.request(write(id, 2))).is_some();
         if answered && went {
             node.pass(10 * MS);
-            node.outcome(id, 0, ORIGIN, Status::Served);
+            node.outcome(id, 0, ORIGIN, Status::Success);
         }
         (id, went)
     };
@@ -1022,7 +1054,7 @@
     let went = more.iter().filter(|(_, went)| *went).count();
     assert!(went >= 13, "{went} of {}", more.len());
     for (id, _) in more {
-        node.outcome(id, 0, ORIGIN, Status::Served);
+        node.outcome(id, 0, ORIGIN, Status::Success);
     }
     // Their ends, late as they come, cut nothing.
     for (id, _) in lost {
@@ -1039,13 +1071,13 @@
     for (quota_per_s, least, most) in [(200.0, 18, 20), (2_000.0, 60, 80)] {
         let mut config = settings();
         config.classes[1].deadline = SECOND;
-        config.classes[0].aim = 400 * MS;
+        config.classes[0].latency_target = 400 * MS;
         config.tenants = vec![Tenant { quota_per_s }];
         let mut node = Node::new(config, 8);
         for id in 1..=6_000 {
             node.request(Request { time_left: SECOND, ..write(id, 2) });
             node.pass(6 * MS);
-            node.outcome(id, 0, ORIGIN, Status::Served);
+            node.outcome(id, 0, ORIGIN, Status::Success);
         }
         node.pass(200 * MS);
         let sent = (6_001..=6_400)
@@ -1071,13 +1103,13 @@
             id += 1;
             node.request(Request { time_left: 900 * MS, ..write(id, 2) });
             node.pass(took(id));
-            node.outcome(id, 0, ORIGIN, Status::Served);
+            node.outcome(id, 0, ORIGIN, Status::Success);
         }
         // As many calls at once as the gate lets through.
         let from = id + 1;
         id += 25;
         let out: Vec<_> = (from..=id).filter(|id| sent_to(&node.request(write(*id, 2))).is_some()).collect();
-        out.iter().for_each(|id| drop(node.outcome(*id, 0, ORIGIN, Status::Served)));
+        out.iter().for_each(|id| drop(node.outcome(*id, 0, ORIGIN, Status::Success)));
         node.pass(SECOND);
         out.len()
     };
@@ -1094,7 +1126,7 @@
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     let second = sent_to(&node.pass(310 * MS)).expect("a second copy");
     assert_ne!(second, first);
-    let after = node.outcome(1, 1, second, Status::Served);
+    let after = node.outcome(1, 1, second, Status::Success);
     assert!(after.contains(&Action::Cancel { request: 1, attempt: 0 }));
     let mut node = Node::new(Settings { may_duplicate: false, may_cancel: true, ..settings() }, 5);
     node.request(read(1, 9));
@@ -1106,9 +1138,9 @@
     // Found at 413 balancers before tables of 75: four in five attempts got no connection.
     let closes = |balancers| {
         let prices = Settings { connection_price: 0.03, handshake_price: 0.03, ..settings() };
-        let mut node = Node::new(Settings { balancers, ..prices }, 3);
+        let mut node = Node::new(Settings { balancer_count: balancers, ..prices }, 3);
         let to = sent_to(&node.request(read(1, 9))).unwrap();
-        node.outcome(1, 0, to, Status::Served).contains(&Action::CloseIdle(to))
+        node.outcome(1, 0, to, Status::Success).contains(&Action::CloseIdle(to))
     };
     assert!(!closes(50) && closes(400));
 }
@@ -1118,19 +1150,19 @@
     // Incident ibfd28e: one request for a hot key from each of 1,096 balancers pushed a cold server over.
     let at_cold = |again: bool| {
         let tenants = vec![Tenant { quota_per_s: 100_000.0 }];
-        let config = Settings { balancers: 1000, cold_share: 0.9, tenants, ..settings() };
+        let config = Settings { balancer_count: 1000, initial_capacity_share: 0.9, tenants, ..settings() };
         let mut node = Node::new(config, 4);
         let ask = |node: &mut Node, id, key| {
             node.pass(20 * MS);
             let to = sent_to(&node.request(read(id, key)));
-            node.outcome(id, 0, to.unwrap(), Status::Served);
+            node.outcome(id, 0, to.unwrap(), Status::Success);
             to
         };
         let key = (1..).find(|key| ask(&mut node, 1000 + key, *key) == Some(2)).unwrap();
         for id in 5000..5100 {
             ask(&mut node, id, if again { key } else { id });
         }
-        node.list(ListKind::Delta, vec![ServerLine { started: node.now, ..server(2) }]);
+        node.list(ListKind::Delta, vec![ServerEntry { started_at: node.now, ..server(2) }]);
         ask(&mut node, 9999, key) == Some(2)
     };
     assert!(at_cold(false), "a key of its own goes there");
@@ -1140,8 +1172,8 @@
 #[test]
 fn an_aim_shorter_than_two_ticks_is_borne() {
     // Found while reading: the wake-up at the aim lay before the present and underflowed.
-    let mut config = Settings { balancers: 0, ..settings() };
-    config.classes[0].aim = 0;
+    let mut config = Settings { balancer_count: 0, ..settings() };
+    config.classes[0].latency_target = 0;
     let mut node = Node::just_started(config, 2);
     let answer = node.request(read(1, 9));
     assert!(refused(&answer, 1) || sends(&answer) == 1);
@@ -1152,8 +1184,8 @@
 fn events_for_ended_requests_and_repeated_or_unknown_outcomes_call_for_nothing() {
     let mut node = Node::new(settings(), 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
-    node.outcome(1, 0, to, Status::Served);
-    for status in [Status::Served, Status::Miss, Status::Full, Status::TimedOut, Status::Cancelled] {
+    node.outcome(1, 0, to, Status::Success);
+    for status in [Status::Success, Status::Miss, Status::Rejected, Status::TimedOut, Status::Cancelled] {
         let answer = node.outcome(1, 0, to, status);
         assert!(sends(&answer) == 0 && !refused(&answer, 1) && !failed(&answer, 1), "repeated: {status:?}");
         let answer = node.outcome(77, 3, 4242, status);
@@ -1171,19 +1203,19 @@
 fn figures_that_are_not_finite_are_borne() {
     let config = Settings {
         tenants: vec![Tenant { quota_per_s: f64::NAN }, Tenant { quota_per_s: f64::INFINITY }],
-        weights_are_sizes: true,
-        cold_share: f64::NAN,
+        weights_are_capacities: true,
+        initial_capacity_share: f64::NAN,
         connection_price: f64::NAN,
         ..settings()
     };
     let mut node = Node::new(config, 2);
     let weights = [f32::NAN, f32::INFINITY, -1.0];
-    let line = |(id, weight)| ServerLine { weight, started: 60 * SECOND, ..server(id) };
+    let line = |(id, weight)| ServerEntry { weight, started_at: 60 * SECOND, ..server(id) };
     let mut lines: Vec<_> = (1..).zip(weights).map(line).collect();
     lines.push(origin());
     node.list(ListKind::Full, lines);
     for id in 1..=30 {
-        let answer = node.request(Request { tenant: id as usize % 2, size: f32::NAN, ..read(id, id) });
+        let answer = node.request(Request { tenant: id as usize % 2, value_bytes: f32::NAN, ..read(id, id) });
         assert!(sends(&answer) == 1 || refused(&answer, id), "sent or refused");
     }
     let after = node.pass(2 * SECOND);
@@ -1193,7 +1225,7 @@
 #[test]
 fn tokens_saved_up_do_not_keep_a_jam_going() {
     // Incident i291613: full buckets at 1,499 balancers were 15 s of traffic with the level at its floor.
-    let mut config = Settings { balancers: 1000, may_duplicate: false, ..settings() };
+    let mut config = Settings { balancer_count: 1000, may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
     let mut node = Node::just_started(config, 500);
     let mut sent = Vec::new();
@@ -1208,15 +1240,15 @@
 #[test]
 fn a_server_that_all_balancers_have_filled_is_skipped_by_its_live_weight() {
     // Found under shared slowness: queues of twelve a core, of which each balancer saw one request of its own.
-    let config = Settings { weights_are_live: true, may_duplicate: false, ..settings() };
+    let config = Settings { weights_follow_load: true, may_duplicate: false, ..settings() };
     let mut node = Node::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     node.pass(200 * MS);
-    node.outcome(1, 0, first, Status::Served); // 0.2 s for one request without a queue
-    node.list(ListKind::Delta, vec![ServerLine { weight: 0.1, ..server(first) }]);
+    node.outcome(1, 0, first, Status::Success); // 0.2 s for one request without a queue
+    node.list(ListKind::Delta, vec![ServerEntry { weight: 0.1, ..server(first) }]);
     let next = sent_to(&node.request(read(2, 9))).expect("another has room");
     assert_ne!(next, first, "nine requests a core wait there");
-    let all = (1..=3).map(|id| ServerLine { weight: 0.1, ..server(id) }).collect();
+    let all = (1..=3).map(|id| ServerEntry { weight: 0.1, ..server(id) }).collect();
     node.list(ListKind::Delta, all);
     assert!(refused(&node.request(read(3, 9)), 3), "all are full");
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -46,24 +46,29 @@
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1..5u32, 1..5u32, 0..4usize, 0..3u8, 0.0..1.0f64).prop_map(
         |((aside, duplicate, ask, peers, sizes), max_attempts, balancers, tenants, group, cold_share)| {
-            let group = [Group::All, Group::Zone, Group::Cell][usize::from(group)];
-            let class = |effect| Class { aim: 200_000, deadline: 900_000, effect, ..Class::default() };
+            let group = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)];
+            let class = |effect| Class {
+                latency_target: 200_000,
+                deadline: 900_000,
+                idempotency: effect,
+                ..Class::default()
+            };
             Settings {
-                balancers,
+                balancer_count: balancers,
                 classes: vec![
-                    class(Effect::Safe),
-                    class(Effect::Keyed { group, window: 300_000 }),
-                    class(Effect::Unsafe),
+                    class(Idempotency::Idempotent),
+                    class(Idempotency::Deduplicated { scope: group, window: 300_000 }),
+                    class(Idempotency::NonIdempotent),
                 ],
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                ask_discovery: ask,
-                origin_kind: aside.then_some(ORIGIN_KIND),
-                weights_are_sizes: sizes,
+                pull_discovery: ask,
+                origin_machine_type: aside.then_some(ORIGIN_KIND),
+                weights_are_capacities: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
-                may_tell_peers: peers,
-                cold_share,
-                warm_up: 2_000_000,
+                may_message_peers: peers,
+                initial_capacity_share: cold_share,
+                warm_up_time: 2_000_000,
                 ..Settings::default()
             }
         },
@@ -90,7 +95,7 @@
     policy: Policy,
     now: u64,
     next: RequestId,
-    lines: BTreeMap<ServerId, ServerLine>,
+    lines: BTreeMap<ServerId, ServerEntry>,
     owed: BTreeMap<RequestId, Owed>,
     /// Attempts out: request, number, server.
     out: Vec<(RequestId, u16, ServerId)>,
@@ -101,13 +106,13 @@
 impl World {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerLine {
+        let line = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
-            kind: if id >= 6 { ORIGIN_KIND } else { 0 },
+            machine_type: if id >= 6 { ORIGIN_KIND } else { 0 },
             weight: id as f32,
-            ..ServerLine::default()
+            ..ServerEntry::default()
         };
         let mut world = World {
             settings,
@@ -125,7 +130,7 @@
     }
 
     fn hear(&mut self, kind: ListKind) {
-        let servers = self.lines.values().filter(|l| l.condition != Condition::Gone).cloned().collect();
+        let servers = self.lines.values().filter(|l| l.state != ServerState::Removed).cloned().collect();
         self.event(Event::ServerList { kind, servers });
     }
 
@@ -143,21 +148,21 @@
             Action::Send { request, server, .. } => {
                 let owed = self.owed.get(request).expect("a send for a request that has ended");
                 let line = &self.lines[server];
-                assert_eq!(line.condition, Condition::Ready, "a send to a draining or gone server");
+                assert_eq!(line.state, ServerState::Ready, "a send to a draining or gone server");
                 assert!(owed.sent.len() < self.settings.max_attempts as usize, "too many attempts");
                 assert!(self.now < owed.ends, "a send after the request's time");
                 assert!(self.settings.may_duplicate || owed.sent.iter().all(|a| !a.out), "two copies out");
                 let running: Vec<_> = owed.sent.iter().filter(|a| a.may_have_run).collect();
-                match self.settings.classes[owed.class].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Effect::Keyed { group, window } => {
+                match self.settings.classes[owed.class].idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::NonIdempotent => assert!(running.is_empty(), "an unsafe request sent twice"),
+                    Idempotency::Deduplicated { scope: group, window } => {
                         for a in running {
                             let first = &self.lines[&a.server];
                             let same = match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == line.zone,
-                                Group::Cell => first.cell == line.cell,
+                                DedupScope::All => true,
+                                DedupScope::Zone => first.zone == line.zone,
+                                DedupScope::Cell => first.cell == line.cell,
                             };
                             assert!(same && self.now < a.at + window, "a keyed request outside its group");
                         }
@@ -170,14 +175,14 @@
             }
             Action::Refuse { request, .. } => {
                 let owed = self.owed.remove(request).expect("a second final answer");
-                let safe = self.settings.classes[owed.class].effect == Effect::Safe;
+                let safe = self.settings.classes[owed.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || owed.sent.iter().all(|a| !a.may_have_run), "a refusal of what may have run");
             }
             Action::Fail(request) => {
                 self.owed.remove(request).expect("a second final answer");
             }
-            Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
-            Action::Tell { bytes, .. } => assert!(self.settings.may_tell_peers && bytes.len() <= 256),
+            Action::Timer { delay: after, .. } => self.timers.push(self.now + (*after).max(1)),
+            Action::Tell { bytes, .. } => assert!(self.settings.may_message_peers && bytes.len() <= 256),
             Action::Probe(_) | Action::Cancel { .. } => panic!("not allowed here"),
             _ => {}
         }
@@ -218,34 +223,34 @@
             Step::End { which, status } if !self.out.is_empty() => {
                 let (request, attempt, server) = self.out.swap_remove(which % self.out.len());
                 let status = [
-                    Status::Served,
+                    Status::Success,
                     Status::Miss,
                     Status::Error,
-                    Status::Full,
+                    Status::Rejected,
                     Status::TimedOut,
                     Status::ConnectFailed,
                     Status::Reset,
-                    Status::Served,
+                    Status::Success,
                     Status::Miss,
                 ][*status];
                 if let Some(owed) = self.owed.get_mut(&request) {
                     let a = &mut owed.sent[usize::from(attempt)];
                     a.out = false;
-                    a.may_have_run &= !status.proves_not_run();
+                    a.may_have_run &= !status.never_executed();
                 }
-                if status == Status::Served {
+                if status == Status::Success {
                     self.owed.remove(&request);
                 }
                 let over = !self.owed.contains_key(&request);
-                let (note, load) = (Note::None, Load::default());
+                let (note, load) = (CacheLookup::NotReported, LoadReport::default());
                 self.event(Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over,
-                    note,
-                    took: 1,
+                    request_finished: over,
+                    lookup: note,
+                    elapsed: 1,
                     load,
                 }));
             }
@@ -262,21 +267,24 @@
             Step::List { which, condition, restarted } => {
                 let id = (which % self.lines.len()) as ServerId;
                 let line = self.lines.get_mut(&id).unwrap();
-                line.condition =
-                    [Condition::Ready, Condition::Draining, Condition::Gone][usize::from(*condition)];
-                line.started = if *restarted { self.now } else { line.started };
+                line.state = [ServerState::Ready, ServerState::Draining, ServerState::Removed]
+                    [usize::from(*condition)];
+                line.started_at = if *restarted { self.now } else { line.started_at };
                 let servers = vec![line.clone()];
                 self.event(Event::ServerList { kind: ListKind::Delta, servers });
             }
             Step::Whole { mask } => {
                 for (id, line) in &mut self.lines {
                     let there = mask >> id & 1 == 1;
-                    line.condition = if there { Condition::Ready } else { Condition::Gone };
+                    line.state = if there { ServerState::Ready } else { ServerState::Removed };
                 }
                 self.hear(ListKind::Full);
             }
             Step::Lost => {
-                self.event(Event::DiscoveryFailed { failure: CallFailure::Failed, unheard: 0 });
+                self.event(Event::DiscoveryFailed {
+                    failure: DiscoveryFailure::Failed,
+                    since_last_contact: 0,
+                });
             }
             Step::Peer { from, bytes } => {
                 self.event(Event::PeerMessage { from: *from, bytes: bytes.clone() });
