--- a/src/policy.rs
+++ b/src/policy.rs
@@ -209,7 +209,7 @@
             self.ready(false).filter(|s| !h.tried_servers.contains(&s.entry.id) && self.warm_enough(key, s))
         {
             // Last, not left out: when most look bad the cause is shared, and there is no better place.
-            let aside = s.ejection.0 != 0 && (self.now < s.ejection.0 || s.in_flight > 0);
+            let aside = s.ejection.until != 0 && (self.now < s.ejection.until || s.in_flight > 0);
             // Each request takes a report for more or less, else all balancers would skip a server, and come
             // back, in step.
             let held = self.held_by_all(s, 0.5 + unit_hash(id, s.entry.id, 2));
@@ -245,9 +245,9 @@
     /// each so seldom that it has to go by a report for longer: the jam outlasts what it last heard.
     fn held_by_all(&self, s: &Server, trust: f64) -> f64 {
         let fades = (REPORT_FADES.0 * self.latency_target as f64).max(REPORT_FADES.1 * self.round());
-        let fresh = 1.0 - (self.now - s.reported.1) as f64 / fades;
+        let fresh = 1.0 - (self.now - s.reported.at) as f64 / fades;
         let others = 1.0 - 1.0 / f64::from(self.settings.balancer_count.max(1));
-        f64::from(s.in_flight) + trust * others * s.reported.0 * fresh.max(0.0)
+        f64::from(s.in_flight) + trust * others * s.reported.count * fresh.max(0.0)
     }
 
     /// Time in which this balancer asks each server once, where quotas tell how much it has to ask.
@@ -369,7 +369,7 @@
         if !allowed {
             return false;
         }
-        let cold = (self.cold_bucket(s).0 + 1.0, self.now);
+        let cold = LeakyBucket { level: self.cold_bucket(s).0 + 1.0, at: self.now };
         let (attempt, sent, aim) = (h.attempts_sent, self.now, self.settings.classes[h.class].latency_target);
         let slow_after = (aim as f64 * PATIENCE) as Micros;
         if let (Some(h), Some(s)) = (self.requests.get_mut(&id), self.servers.get_mut(&server)) {
@@ -429,7 +429,7 @@
         // One connection that broke, or one answer that was spoilt, says little of its server: the key's copy
         // is there still, and the next in the order would have to fetch it.
         let well = matches!(o.status, Status::Malformed | Status::Reset)
-            && self.servers.get(&flight.server).is_some_and(|s| s.failure_count < 2 && s.ejection.0 == 0);
+            && self.servers.get(&flight.server).is_some_and(|s| s.failure_count < 2 && s.ejection.until == 0);
         let Some(h) = self.requests.get_mut(&o.request) else { return };
         h.in_flight -= 1;
         if o.status.never_executed() {
@@ -495,7 +495,7 @@
             return self.learn_origin(flight, o, out);
         }
         if let Some(held) = held {
-            s.reported = (held, self.now);
+            s.reported = ReportedRequests { count: held, at: self.now };
         }
         if let Some(busy) = busy {
             self.server_utilization.record(busy.min(1.0), 1.0);
@@ -526,7 +526,7 @@
             }
             Status::NotSent | Status::Cancelled => {}
             _ => {
-                self.zones.insert(s.entry.zone, (self.now, 0));
+                self.zones.insert(s.entry.zone, ZoneState { last_answer_at: self.now, unanswered: 0 });
                 let sample = (self.now - flight.sent_at) as f64 / (1.0 + waiting);
                 if o.status == Status::Success {
                     self.service_time +=
@@ -539,12 +539,12 @@
                     return;
                 }
                 s.failure_count = s.failure_count.saturating_sub(1);
-                if s.ejection.0 != 0 {
-                    s.ejection = (0, 0);
+                if s.ejection.until != 0 {
+                    s.ejection = Ejection::default();
                     // It refused connections and answers again: a new process, cold, and the list is late.
                     if std::mem::take(&mut s.connect_failed) {
                         s.entry.started_at = s.entry.started_at.max(self.now);
-                        s.slow_start_bucket = (1.0 + self.rng.next_unit(), self.now);
+                        s.slow_start_bucket = LeakyBucket { level: 1.0 + self.rng.next_unit(), at: self.now };
                     }
                     out.push(Action::Log(format!("server {} answers again: let back", flight.server)));
                 }
@@ -585,16 +585,16 @@
     /// would find out one after the other.
     fn zone_silent(&mut self, server: ServerId, sent: Micros, out: &mut Vec<Action>) {
         let Some(zone) = self.servers.get(&server).map(|s| s.entry.zone) else { return };
-        if !self.ready(false).any(|s| s.entry.zone != zone && s.ejection.0 == 0) {
+        if !self.ready(false).any(|s| s.entry.zone != zone && s.ejection.until == 0) {
             return; // There is no better place.
         }
         let time = self.least_aside();
-        let (heard, silent) = self.zones.entry(zone).or_default();
-        *silent += u32::from(*heard < sent);
-        if *silent < STRIKES {
+        let zone_state = self.zones.entry(zone).or_default();
+        zone_state.unanswered += u32::from(zone_state.last_answer_at < sent);
+        if zone_state.unanswered < STRIKES {
             return;
         }
-        if *silent == STRIKES {
+        if zone_state.unanswered == STRIKES {
             out.push(Action::Log(format!("zone {zone} is silent: set aside")));
             let out_there = self.attempts.iter().filter(|(_, f)| f.purpose == Purpose::Read);
             out_there.for_each(|(&(id, attempt), _)| {
@@ -602,7 +602,8 @@
             });
         }
         for s in self.servers.values_mut().filter(|s| s.entry.zone == zone && !s.is_origin) {
-            s.ejection = (s.ejection.0.max(self.now + time), s.ejection.1.max(time));
+            s.ejection.until = s.ejection.until.max(self.now + time);
+            s.ejection.duration = s.ejection.duration.max(time);
         }
     }
 
@@ -610,7 +611,7 @@
     fn in_silent_zone(&self, f: &Attempt) -> bool {
         let zone =
             self.servers.get(&f.server).filter(|s| !s.is_origin).and_then(|s| self.zones.get(&s.entry.zone));
-        zone.is_some_and(|(heard, silent)| *silent >= STRIKES && *heard < f.sent_at)
+        zone.is_some_and(|zone| zone.unanswered >= STRIKES && zone.last_answer_at < f.sent_at)
     }
 
     /// How long a server is set aside for at the least.
@@ -623,15 +624,15 @@
         let (round, least) = (self.round(), self.least_aside());
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.failure_count += 1;
-        let trial_failed = s.ejection.0 != 0 && self.now >= s.ejection.0;
+        let trial_failed = s.ejection.until != 0 && self.now >= s.ejection.until;
         // One that asks a server hardly once in an aim would find the same failure again and again, and to do
         // without the server for a while costs it little; that one request is slow is no failure.
         let failed = s.connect_failed || s.returned_error;
         let enough =
             if failed { (self.latency_target as f64 / round.max(1.0)).ceil() as u32 } else { STRIKES };
-        if trial_failed || (s.ejection.0 == 0 && s.failure_count >= enough.clamp(1, STRIKES)) {
-            let time = (s.ejection.1 * 2).clamp(least, self.latency_target * ASIDE.1);
-            s.ejection = (self.now + time, time);
+        if trial_failed || (s.ejection.until == 0 && s.failure_count >= enough.clamp(1, STRIKES)) {
+            let time = (s.ejection.duration * 2).clamp(least, self.latency_target * ASIDE.1);
+            s.ejection = Ejection { until: self.now + time, duration: time };
             out.push(Action::Log(format!("server {server} fails or is silent: set aside")));
         }
     }
@@ -671,7 +672,9 @@
         };
         let held = self.weight(s) * (1.0 + (self.now - f.sent_at) as f64 / self.service_time);
         let held = held.max(self.held_by_all(s, 1.0));
-        self.servers.entry(f.server).and_modify(|s| s.reported = (held, self.now));
+        self.servers
+            .entry(f.server)
+            .and_modify(|s| s.reported = ReportedRequests { count: held, at: self.now });
     }
 
     /// How old an attempt must be for its answer to be lost. The more answers its server has lost of late,
@@ -831,8 +834,8 @@
             s.is_origin = self.settings.origin_machine_type == Some(line.machine_type);
             // A new process starts with a clean record. One presumed cold stays so until the list knows.
             if line.started_at > s.entry.started_at {
-                (s.failure_count, s.ejection, s.reported) = (0, (0, 0), (0.0, 0));
-                s.slow_start_bucket = (1.0 + self.rng.next_unit(), self.now);
+                (s.failure_count, s.ejection, s.reported) = Default::default();
+                s.slow_start_bucket = LeakyBucket { level: 1.0 + self.rng.next_unit(), at: self.now };
             }
             s.idle_weight =
                 if self.settings.weights_follow_load { s.idle_weight.max(line.weight) } else { line.weight };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -31,7 +31,7 @@
     /// all would come at once and push the server over.
     pub(super) fn cold_bucket(&self, s: &Server) -> (f64, f64) {
         let rate = COLD_RATE * self.warmth(s) * self.share() * self.weight(s) / self.total_weight / 1e6;
-        let level = s.slow_start_bucket.0 - rate * (self.now - s.slow_start_bucket.1) as f64;
+        let level = s.slow_start_bucket.level - rate * (self.now - s.slow_start_bucket.at) as f64;
         (level.max(0.0), 1.0 + rate * self.settings.crash_load_time as f64 / 2.0)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
     pub(crate) attempts: BTreeMap<(RequestId, u16), Attempt>,
     /// When each zone's servers last answered, and the attempts there since that seem to have met silence.
-    pub(crate) zones: BTreeMap<u8, (Micros, u32)>,
+    pub(crate) zones: BTreeMap<u8, ZoneState>,
     pub(crate) gate: Gate,
     pub(crate) tenant_buckets: Vec<TokenBucket>,
     pub(crate) shared_bucket: TokenBucket,
@@ -76,6 +76,34 @@
     pub presumed_lost: bool,
 }
 
+/// When the servers of a zone last answered, and how many attempts there seem to have met silence since.
+#[derive(Default)]
+pub struct ZoneState {
+    pub last_answer_at: Micros,
+    pub unanswered: u32,
+}
+
+/// Requests of all balancers that a server held by a report of it.
+#[derive(Default)]
+pub struct ReportedRequests {
+    pub count: f64,
+    pub at: Micros,
+}
+
+/// Until when a server is ejected (0: it is not), and for how long that was.
+#[derive(Default)]
+pub struct Ejection {
+    pub until: Micros,
+    pub duration: Micros,
+}
+
+/// Level of a leaky bucket at a time.
+#[derive(Default)]
+pub struct LeakyBucket {
+    pub level: f64,
+    pub at: Micros,
+}
+
 /// A server of the list, and what this balancer has seen of it.
 #[derive(Default)]
 pub struct Server {
@@ -85,7 +113,7 @@
     pub idle_weight: f32,
     pub in_flight: u32,
     /// Requests of all balancers that it held by its latest report, and when that came.
-    pub reported: (f64, Micros),
+    pub reported: ReportedRequests,
     pub last_answer_at: Micros,
     /// When the latest of the attempts that it has answered was sent.
     pub last_answered_sent_at: Micros,
@@ -101,9 +129,9 @@
     /// Whether it was an error.
     pub returned_error: bool,
     /// Until when it is set aside (0: it is not), and for how long that was.
-    pub ejection: (Micros, Micros),
+    pub ejection: Ejection,
     /// Level and time of the bucket that holds bursts at a cold server.
-    pub slow_start_bucket: (f64, Micros),
+    pub slow_start_bucket: LeakyBucket,
 }
 
 impl Server {
