--- a/src/bin/pondproxy-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -110,7 +110,7 @@
         let file: File = serde_json::from_slice(&text).map_err(ConfigError::Json)?;
         let address = |name, value: String| value.parse().map_err(|_| ConfigError::Field(name, value));
         let settings = file.settings.ok_or_else(|| ConfigError::Field("settings", String::new()))?;
-        let deployment = settings::read(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
+        let deployment = settings::parse(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
         if deployment.classes.is_empty() {
             return Err(ConfigError::Settings("the settings name no class of requests".into()));
         }
--- a/src/bin/pondproxy-node/upstream_pool/tests.rs
+++ b/src/bin/pondproxy-node/upstream_pool/tests.rs
@@ -20,7 +20,7 @@
         let socket = Socket::new(TcpStream::from_std(accepted).unwrap());
         let (input_sender, mut inputs) = mpsc::channel(8);
         let (say, jobs) = mpsc::channel(1);
-        let deployment = Arc::new(pondproxy::settings::read(b"{}").unwrap());
+        let deployment = Arc::new(pondproxy::settings::parse(b"{}").unwrap());
         let memory = Memory::new(64);
         let mut link = Link { id: 1, speech: Speech::Resp, deployment, memory, jobs, input_sender };
         let mut task = tokio::spawn(async move { link.run(address).await });
@@ -89,7 +89,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (input_sender, mut inputs) = mpsc::channel(8);
-        let deployment = Arc::new(pondproxy::settings::read(b"{}").unwrap());
+        let deployment = Arc::new(pondproxy::settings::parse(b"{}").unwrap());
         let mut pool = Pool::new(Places::new(256), deployment, Memory::new(64), input_sender);
         let id = pool.open(7, address, Speech::Resp, (1, 0)).unwrap();
         assert!(matches!(inputs.recv().await, Some(Input::Conn(_, News::Up))));
--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -40,7 +40,7 @@
     fn record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
         match record {
             Record::Start { node, seed, settings } => {
-                let settings = settings::read(settings)?.settings;
+                let settings = settings::parse(settings)?.settings;
                 let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
                 let policy = Policy::new(settings, seed);
                 self.instances.insert(node, Instance { policy, classes, tenants });
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -113,11 +113,11 @@
 
 impl Default for RawSettings {
     fn default() -> Self {
-        let base = Settings::default();
+        let defaults = Settings::default();
         RawSettings {
-            balancers: base.balancer_count,
-            me: base.balancer_index,
-            zone: base.zone,
+            balancers: defaults.balancer_count,
+            me: defaults.balancer_index,
+            zone: defaults.zone,
             classes: Vec::new(),
             realms: Vec::new(),
             zones: Vec::new(),
@@ -129,20 +129,20 @@
             prices: RawPrices::default(),
             report: RawReport::default(),
             weight_source: "silent".into(),
-            period_us: base.tick as f64,
+            period_us: defaults.tick as f64,
         }
     }
 }
 
 impl Default for RawClass {
     fn default() -> Self {
-        let base = Class::default();
+        let defaults = Class::default();
         RawClass {
             name: String::new(),
-            goal_time_us: base.latency_target as f64,
-            deadline_us: base.deadline as f64,
-            gain: base.on_time_value,
-            late_value: base.late_value_fraction,
+            goal_time_us: defaults.latency_target as f64,
+            deadline_us: defaults.deadline as f64,
+            gain: defaults.on_time_value,
+            late_value: defaults.late_value_fraction,
             effect: "side_effect".into(),
             dedup_scope: "cell".into(),
             dedup_window_us: 0.0,
@@ -175,91 +175,92 @@
 
 impl Default for RawGuarantees {
     fn default() -> Self {
-        let base = Settings::default();
+        let defaults = Settings::default();
         RawGuarantees {
-            ask_within_us: base.notified_after as f64,
-            cold_share: base.initial_capacity_share,
-            cold_us: base.warm_up_time as f64,
-            drain_grace_us: base.drain_grace_time as f64,
-            fall_multiple: base.crash_load_multiple,
-            tip_after_us: base.crash_load_time as f64,
+            ask_within_us: defaults.notified_after as f64,
+            cold_share: defaults.initial_capacity_share,
+            cold_us: defaults.warm_up_time as f64,
+            drain_grace_us: defaults.drain_grace_time as f64,
+            fall_multiple: defaults.crash_load_multiple,
+            tip_after_us: defaults.crash_load_time as f64,
         }
     }
 }
 
 /// Reads a settings text; the error is one plain line.
-pub fn read(text: &[u8]) -> Result<Deployment, String> {
-    let wire: RawSettings = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
-    let mut classes = Vec::with_capacity(wire.classes.len());
-    for c in &wire.classes {
-        classes.push(class(c)?);
+pub fn parse(text: &[u8]) -> Result<Deployment, String> {
+    let raw: RawSettings = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
+    let mut classes = Vec::with_capacity(raw.classes.len());
+    for raw_class in &raw.classes {
+        classes.push(parse_class(raw_class)?);
     }
-    let origin = (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
-    let limits = wire.limits;
+    let origin_machine_type =
+        (raw.specifics.mode == "aside").then(|| u16::try_from(raw.specifics.origin_kind).ok());
+    let limits = raw.limits;
     let settings = Settings {
-        balancer_count: wire.balancers,
-        balancer_index: wire.me,
-        zone: wire.zone,
+        balancer_count: raw.balancers,
+        balancer_index: raw.me,
+        zone: raw.zone,
         classes,
-        tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
-        pull_discovery: wire.discovery == "ask",
-        notified_after: micros(wire.guarantees.ask_within_us),
-        origin_machine_type: origin.flatten(),
-        weights_are_capacities: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
-        weights_follow_load: wire.weight_source == "live",
-        load_fields: wire.report.fields.iter().map(|f| load_field(f)).collect(),
+        tenants: raw.realms.iter().map(|realm| Tenant { quota_per_s: realm.quota_per_s }).collect(),
+        pull_discovery: raw.discovery == "ask",
+        notified_after: micros(raw.guarantees.ask_within_us),
+        origin_machine_type: origin_machine_type.flatten(),
+        weights_are_capacities: matches!(raw.weight_source.as_str(), "nominal" | "rough"),
+        weights_follow_load: raw.weight_source == "live",
+        load_fields: raw.report.fields.iter().map(|name| parse_load_field(name)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
         may_cancel: limits.may_cancel,
         may_probe: limits.probes,
         may_message_peers: limits.peers,
-        connection_price: wire.prices.connection,
-        handshake_price: wire.prices.handshake,
+        connection_price: raw.prices.connection,
+        handshake_price: raw.prices.handshake,
         max_retry_after: if limits.retry_after { micros(limits.max_retry_after_us) } else { 0 },
-        tick: micros(wire.period_us),
-        initial_capacity_share: wire.guarantees.cold_share,
-        warm_up_time: micros(wire.guarantees.cold_us),
-        crash_load_multiple: wire.guarantees.fall_multiple,
-        crash_load_time: micros(wire.guarantees.tip_after_us),
-        drain_grace_time: micros(wire.guarantees.drain_grace_us),
+        tick: micros(raw.period_us),
+        initial_capacity_share: raw.guarantees.cold_share,
+        warm_up_time: micros(raw.guarantees.cold_us),
+        crash_load_multiple: raw.guarantees.fall_multiple,
+        crash_load_time: micros(raw.guarantees.tip_after_us),
+        drain_grace_time: micros(raw.guarantees.drain_grace_us),
         connect_timeout: micros(limits.connect_timeout_us),
     };
     Ok(Deployment {
         settings,
-        classes: wire.classes.into_iter().map(|c| c.name).collect(),
-        tenants: wire.realms.into_iter().map(|r| r.name).collect(),
-        zones: wire.zones,
-        machine_types: wire.machine_types,
-        load_field_names: wire.report.fields,
+        classes: raw.classes.into_iter().map(|class| class.name).collect(),
+        tenants: raw.realms.into_iter().map(|realm| realm.name).collect(),
+        zones: raw.zones,
+        machine_types: raw.machine_types,
+        load_field_names: raw.report.fields,
         idle_timeout: micros(limits.idle_close_us),
         max_open_requests: limits.max_open,
     })
 }
 
-fn class(c: &RawClass) -> Result<Class, String> {
-    let group = match c.dedup_scope.as_str() {
+fn parse_class(raw: &RawClass) -> Result<Class, String> {
+    let scope = match raw.dedup_scope.as_str() {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         _ => DedupScope::Cell,
     };
-    let effect = match c.effect.as_str() {
+    let idempotency = match raw.effect.as_str() {
         "pure" => Idempotency::Idempotent,
-        "token" => Idempotency::Deduplicated { scope: group, window: micros(c.dedup_window_us) },
+        "token" => Idempotency::Deduplicated { scope, window: micros(raw.dedup_window_us) },
         "side_effect" => Idempotency::NonIdempotent,
         other => {
             return Err(format!("unreadable settings: unknown effect {other:?} of a class"));
         }
     };
     Ok(Class {
-        latency_target: micros(c.goal_time_us),
-        deadline: micros(c.deadline_us),
-        on_time_value: c.gain,
-        late_value_fraction: c.late_value,
-        idempotency: effect,
+        latency_target: micros(raw.goal_time_us),
+        deadline: micros(raw.deadline_us),
+        on_time_value: raw.gain,
+        late_value_fraction: raw.late_value,
+        idempotency,
     })
 }
 
-fn load_field(name: &str) -> LoadField {
+fn parse_load_field(name: &str) -> LoadField {
     match name {
         "rif" => LoadField::InFlight,
         "q" => LoadField::Queued,
--- a/src/state.rs
+++ b/src/state.rs
@@ -147,8 +147,8 @@
 
     /// Whether two servers know of each other's keyed requests. The origin is a group of its own: cache
     /// servers do not know what it has seen.
-    pub fn shares_dedup_scope(&self, other: &Server, group: DedupScope) -> bool {
-        match group {
+    pub fn shares_dedup_scope(&self, other: &Server, scope: DedupScope) -> bool {
+        match scope {
             _ if self.is_origin || other.is_origin => self.entry.id == other.entry.id,
             DedupScope::All => true,
             DedupScope::Zone => self.entry.zone == other.entry.zone,
@@ -201,8 +201,8 @@
 
 impl Gate {
     /// Raises the counters just before a call.
-    pub fn acquire(&mut self, call: Purpose) {
-        for i in 0..=usize::from(call == Purpose::Fetch) {
+    pub fn acquire(&mut self, purpose: Purpose) {
+        for i in 0..=usize::from(purpose == Purpose::Fetch) {
             self.in_flight[i] += 1;
             self.window_calls[i] += 1;
         }
@@ -216,8 +216,8 @@
     }
 
     /// Lowers the counters after any outcome of a call.
-    pub fn release(&mut self, call: Purpose) {
-        for i in 0..=usize::from(call == Purpose::Fetch) {
+    pub fn release(&mut self, purpose: Purpose) {
+        for i in 0..=usize::from(purpose == Purpose::Fetch) {
             self.in_flight[i] -= 1;
         }
     }
@@ -234,15 +234,15 @@
 
 impl DecayingRatio {
     /// So many cases among so many.
-    pub fn new(cases: f64, all: f64) -> Self {
-        DecayingRatio { matching: cases, total: all, recent: 0.0 }
+    pub fn new(matching: f64, total: f64) -> Self {
+        DecayingRatio { matching, total, recent: 0.0 }
     }
 
     /// Counts cases, and among how many.
-    pub fn record(&mut self, cases: f64, all: f64) {
-        self.matching += cases;
-        self.total += all;
-        self.recent += all;
+    pub fn record(&mut self, matching: f64, total: f64) {
+        self.matching += matching;
+        self.total += total;
+        self.recent += total;
     }
 
     /// The cases as a part of all.
@@ -251,8 +251,8 @@
     }
 
     /// Lets the past count for less, while more than the least are left.
-    pub fn decay(&mut self, keep: f64, least: f64) {
-        let keep = if self.total > least { keep } else { 1.0 };
+    pub fn decay(&mut self, keep: f64, min_total: f64) {
+        let keep = if self.total > min_total { keep } else { 1.0 };
         (self.matching, self.total, self.recent) = (self.matching * keep, self.total * keep, 0.0);
     }
 }
@@ -288,8 +288,8 @@
 impl TokenBucket {
     /// Fills it at a rate a second up to a depth, and tells whether there is a token to take.
     pub fn refill(&mut self, now: Micros, per_s: f64, depth: f64) -> bool {
-        let more = per_s.max(0.0) * now.saturating_sub(self.filled_at) as f64 / 1e6;
-        self.tokens = if more.is_nan() { self.tokens } else { (self.tokens + more).min(depth) };
+        let added = per_s.max(0.0) * now.saturating_sub(self.filled_at) as f64 / 1e6;
+        self.tokens = if added.is_nan() { self.tokens } else { (self.tokens + added).min(depth) };
         self.filled_at = now;
         self.tokens >= 1.0
     }
@@ -314,8 +314,8 @@
 
 impl TimerQueue {
     /// Asks to be woken at a time.
-    pub fn schedule(&mut self, time: Micros, wake: TimerTask) {
-        self.queue.push(Reverse((time, wake)));
+    pub fn schedule(&mut self, time: Micros, task: TimerTask) {
+        self.queue.push(Reverse((time, task)));
     }
 
     /// A timer has come. One that was overtaken by an earlier one is of no account: were another set for each,
@@ -326,10 +326,10 @@
 
     /// The next wake-up that is due; when none is, sees that a timer is set for the first to come.
     pub fn pop_due(&mut self, now: Micros, out: &mut Vec<Action>) -> Option<TimerTask> {
-        let &Reverse((time, wake)) = self.queue.peek()?;
+        let &Reverse((time, task)) = self.queue.peek()?;
         if time <= now {
             self.queue.pop();
-            return Some(wake);
+            return Some(task);
         }
         if self.armed_for.is_none_or(|armed| time < armed) {
             self.armed_for = Some(time);
@@ -340,9 +340,16 @@
 }
 
 /// Logs when a figure falls below a mark or rises to it again.
-pub fn log_crossing(out: &mut Vec<Action>, was: f64, is: f64, mark: f64, fallen: &str, risen: &str) {
-    if (was < mark) != (is < mark) {
-        out.push(Action::Log(if is < mark { fallen } else { risen }.into()));
+pub fn log_crossing(
+    out: &mut Vec<Action>,
+    before: f64,
+    after: f64,
+    threshold: f64,
+    below: &str,
+    above: &str,
+) {
+    if (before < threshold) != (after < threshold) {
+        out.push(Action::Log(if after < threshold { below } else { above }.into()));
     }
 }
 
