--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -5,10 +5,10 @@
 
 use crate::client_sessions::Command;
 use crate::resp::{self, Value};
-use crate::upstream_pool::{Broken, Reply};
+use crate::upstream_pool::{MalformedReply, ServerReply};
 
 /// What a client said of its request as it goes on to a server: all unchanged but `d`, the time left now.
-pub fn facts(command: &Command, left_ms: u64) -> String {
+pub fn forwarded_facts(command: &Command, left_ms: u64) -> String {
     let facts = command.facts.split(',').map(|fact| match fact.split_once('=') {
         Some(("d", _)) => format!("d={left_ms}"),
         _ => fact.into(),
@@ -18,58 +18,62 @@
 
 /// The command of a client as it goes on to a cache server.
 pub fn encode(command: &Command, left_ms: u64) -> Bytes {
-    let facts = facts(command, left_ms);
+    let facts = forwarded_facts(command, left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
     match &command.value {
-        Some(value) => resp::command(&[name, &command.key, &command.id, facts.as_bytes(), value]),
-        None => resp::command(&[name, &command.key, &command.id, facts.as_bytes()]),
+        Some(value) => resp::encode_command(&[name, &command.key, &command.id, facts.as_bytes(), value]),
+        None => resp::encode_command(&[name, &command.key, &command.id, facts.as_bytes()]),
     }
 }
 
 /// Takes an answer off the front of what a connection brought; `None` while it is not all there. Against
 /// spoilt answers passed on: whatever is not just as the protocol has it is broken.
-pub fn decode(buffer: &mut BytesMut, load_names: &[String], longest: usize) -> Result<Option<Reply>, Broken> {
-    let Some(value) = resp::take_value(buffer, longest).map_err(|_| Broken)? else { return Ok(None) };
-    let reply = |status| Reply {
+pub fn decode(
+    buffer: &mut BytesMut,
+    load_names: &[String],
+    longest: usize,
+) -> Result<Option<ServerReply>, MalformedReply> {
+    let Some(value) = resp::take_value(buffer, longest).map_err(|_| MalformedReply)? else { return Ok(None) };
+    let reply = |status| ServerReply {
         status,
-        note: CacheLookup::NotReported,
+        lookup: CacheLookup::NotReported,
         load: LoadReport::default(),
         value: None,
-        keep: true,
+        keep_alive: true,
     };
     Ok(Some(match value {
         Value::Array(items) => {
             let Ok([Value::Bulk(value), Value::Bulk(how), Value::Bulk(report)]) =
                 <[Value; 3]>::try_from(items)
             else {
-                return Err(Broken);
+                return Err(MalformedReply);
             };
             // A report or a word that can't be read tells nothing, and the answer is good all the same.
             let text = |text: &Option<Bytes>| {
                 text.as_ref().and_then(|t| std::str::from_utf8(t).ok()).unwrap_or("").to_owned()
             };
-            let (note, load) = (note(&text(&how)), load(&text(&report), load_names));
+            let (lookup, load) = (parse_lookup(&text(&how)), parse_load_report(&text(&report), load_names));
             let status = if value.is_some() { Status::Success } else { Status::Miss };
-            Reply { note, load, value, ..reply(status) }
+            ServerReply { lookup, load, value, ..reply(status) }
         }
         Value::Error(line) => {
-            let line = std::str::from_utf8(&line).map_err(|_| Broken)?;
+            let line = std::str::from_utf8(&line).map_err(|_| MalformedReply)?;
             let status = match line.split(' ').next() {
-                _ if line.chars().any(char::is_control) => return Err(Broken),
+                _ if line.chars().any(char::is_control) => return Err(MalformedReply),
                 Some("BUSY") => Status::Rejected,
                 Some("ERR") => Status::Error,
-                _ => return Err(Broken),
+                _ => return Err(MalformedReply),
             };
             let last = line.rsplit(' ').next().unwrap_or("");
-            Reply { load: load(last, load_names), ..reply(status) }
+            ServerReply { load: parse_load_report(last, load_names), ..reply(status) }
         }
         // Nothing of the protocol: what this connection brings next can't be matched to anything.
-        _ => return Err(Broken),
+        _ => return Err(MalformedReply),
     }))
 }
 
 /// How a read went, in a server's words.
-pub fn note(word: &str) -> CacheLookup {
+pub fn parse_lookup(word: &str) -> CacheLookup {
     match word {
         "hit" => CacheLookup::Hit,
         "miss" => CacheLookup::Miss,
@@ -79,7 +83,7 @@
 }
 
 /// A load report in a server's words: names and values, put in the order that the settings name them.
-pub fn load(text: &str, names: &[String]) -> LoadReport {
+pub fn parse_load_report(text: &str, names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (slot, name) in names.iter().take(load.values.len()).enumerate() {
         let pair = text.split(',').filter_map(|pair| pair.split_once('='));
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, sleep_until};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::client_socket::{PIECE, Presence, Socket};
-use crate::command_buffer::{Backlog, Next};
-use crate::connection_slots::{ClientId, Leave, Place, Places, REST};
-use crate::event_loop::{Clock, Input};
-use crate::memory_budget::{Memory, Share};
+use crate::client_socket::{ClientLiveness, ClientSocket, READ_CHUNK_BYTES};
+use crate::command_buffer::{BufferItem, CommandBuffer};
+use crate::connection_slots::{ClientId, ClientSlot, ConnectionSlots, Eviction, MIN_IDLE_TIME};
+use crate::event_loop::{Clock, NodeEvent};
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp;
 
 /// Requests of one connection that are answered at the same time; more wait, or are refused. The first figure
@@ -53,20 +53,20 @@
 const MAX_WAIT_MS: f64 = 60_000.0;
 
 /// What all connections of clients share.
-pub struct Front {
+pub struct SessionContext {
     pub deployment: Arc<Deployment>,
     pub clock: Clock,
-    pub input_sender: mpsc::Sender<Input>,
+    pub event_sender: mpsc::Sender<NodeEvent>,
     /// Where the node stands.
     pub phase: watch::Receiver<Phase>,
     /// The table of descriptors.
-    pub places: Arc<Places>,
+    pub connection_slots: Arc<ConnectionSlots>,
     /// Requests that may still be taken; one counts until its answer is passed on.
-    pub open: Arc<Semaphore>,
+    pub request_permits: Arc<Semaphore>,
     /// What they and all else may hold.
-    pub memory: Memory,
+    pub memory: MemoryBudget,
     /// Ids of the requests that are open.
-    pub ids: Arc<Mutex<HashSet<Bytes>>>,
+    pub open_ids: Arc<Mutex<HashSet<Bytes>>>,
 }
 
 /// An id while its request is open. Against a client that names another's: the second is not taken.
@@ -107,9 +107,9 @@
     pub class: usize,
     pub tenant: usize,
     pub time_left: Micros,
-    pub repeat: bool,
-    pub cost: Option<Micros>,
-    pub size: f32,
+    pub client_retry: bool,
+    pub expected_work: Option<Micros>,
+    pub value_bytes: f32,
 }
 
 impl Command {
@@ -123,29 +123,29 @@
 
 /// A command on its way to the node, and where its answer goes.
 #[derive(Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub command: Command,
-    pub at: Micros,
+    pub received_at: Micros,
     pub client: ClientId,
     /// Whether the client is still there.
-    pub presence: Presence,
-    pub slot: u64,
-    pub answers: mpsc::Sender<Answer>,
+    pub liveness: ClientLiveness,
+    pub reply_index: u64,
+    pub reply_sender: mpsc::Sender<ClientReply>,
     /// What the request holds of the memory, its value and that value on its way included.
-    pub share: Share,
+    pub reservation: MemoryReservation,
 }
 
-/// An answer for one of a connection's slots, and what it holds of the memory.
+/// An answer for one of a connection's pending replies, and what it holds of the memory.
 #[derive(Debug)]
-pub struct Answer {
-    pub slot: u64,
+pub struct ClientReply {
+    pub reply_index: u64,
     pub bytes: Bytes,
-    pub share: Option<Share>,
+    pub reservation: Option<MemoryReservation>,
 }
 
 /// Takes connections until the node drains, then those that the machine has already taken.
-pub async fn listen(listener: TcpListener, front: Arc<Front>) {
-    let mut phase = front.phase.clone();
+pub async fn listen(listener: TcpListener, context: Arc<SessionContext>) {
+    let mut phase = context.phase.clone();
     loop {
         let draining = *phase.borrow() == Phase::Draining;
         let accepted = tokio::select! {
@@ -156,23 +156,23 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let place = loop {
-                    let place = front.places.newcomer();
-                    if front.places.servers_in_the_way() {
-                        let _ = front.input_sender.try_send(Input::Crowded);
+                let client_slot = loop {
+                    let client_slot = context.connection_slots.acquire_for_client();
+                    if context.connection_slots.servers_limit_clients() {
+                        let _ = context.event_sender.try_send(NodeEvent::SlotsLow);
                     }
-                    match place {
-                        Some(place) => break place,
-                        None => front.places.changed().await,
+                    match client_slot {
+                        Some(client_slot) => break client_slot,
+                        None => context.connection_slots.wait_for_free_slot().await,
                     }
                 };
-                tokio::spawn(serve(stream, front.clone(), place));
+                tokio::spawn(serve(stream, context.clone(), client_slot));
             }
             // Out of descriptors, or the client has left: neither ends the node.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
-    front.places.listening(false);
+    context.connection_slots.set_accepting(false);
 }
 
 /// Why a connection of a client ends.
@@ -184,20 +184,20 @@
     Closed,
 }
 
-async fn serve(stream: TcpStream, front: Arc<Front>, place: Place) {
+async fn serve(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
     let _ = stream.set_nodelay(true);
-    let (answers, answered) = mpsc::channel(PIPELINE.1 + 1);
+    let (reply_sender, reply_receiver) = mpsc::channel(PIPELINE.1 + 1);
     let now = Instant::now();
     let mut session = Session {
-        socket: Socket::new(stream),
-        place,
-        answers,
-        answered,
-        input: Backlog::new(front.memory.clone()),
+        socket: ClientSocket::new(stream),
+        client_slot,
+        reply_sender,
+        reply_receiver,
+        input: CommandBuffer::new(context.memory.clone()),
         long_by: None,
         next_piece: now,
         output: None,
-        slots: VecDeque::new(),
+        pending_replies: VecDeque::new(),
         first: 0,
         broken: false,
         looked: false,
@@ -205,36 +205,36 @@
         whole_by: Some(now + FIRST),
         idle_since: now,
         rested_at: None,
-        front,
+        context,
     };
     let ended = session.run().await;
-    let Session { mut socket, slots, broken, front, place, .. } = session;
-    place.leaving();
+    let Session { mut socket, pending_replies, broken, context, client_slot, .. } = session;
+    client_slot.set_closing();
     if ended == Ended::Closed && broken {
-        socket.linger(LINGER).await;
+        socket.lingering_close(LINGER).await;
     }
     // From here on nothing is sent on for it, also while the news of its end waits behind others.
     drop(socket);
-    if slots.iter().any(Slot::open) {
-        let _ = front.input_sender.send(Input::ClientGone(place.id())).await;
+    if pending_replies.iter().any(PendingReply::open) {
+        let _ = context.event_sender.send(NodeEvent::ClientDisconnected(client_slot.id())).await;
     }
 }
 
 /// The place of one answer, or of some.
-enum Slot {
+enum PendingReply {
     /// It is owed. Counts the request among those that are open, and its id.
     Open {
         #[expect(dead_code, reason = "held for its drop")]
         counted: (OwnedSemaphorePermit, Id),
     },
-    Answer(Bytes, Option<Share>),
+    Ready(Bytes, Option<MemoryReservation>),
     /// So many commands that were passed over.
     Refusals(u64),
 }
 
-impl Slot {
+impl PendingReply {
     fn open(&self) -> bool {
-        matches!(self, Slot::Open { .. })
+        matches!(self, PendingReply::Open { .. })
     }
 }
 
@@ -242,23 +242,23 @@
 struct Output {
     bytes: Bytes,
     by: Instant,
-    _share: Option<Share>,
+    _reservation: Option<MemoryReservation>,
 }
 
 struct Session {
-    socket: Socket,
-    place: Place,
-    answers: mpsc::Sender<Answer>,
-    answered: mpsc::Receiver<Answer>,
-    input: Backlog,
+    socket: ClientSocket,
+    client_slot: ClientSlot,
+    reply_sender: mpsc::Sender<ClientReply>,
+    reply_receiver: mpsc::Receiver<ClientReply>,
+    input: CommandBuffer,
     /// Until when a long command waits for memory.
     long_by: Option<Instant>,
     /// When the next piece of what is not kept is read.
     next_piece: Instant,
     output: Option<Output>,
     /// Answers in the order of their commands.
-    slots: VecDeque<Slot>,
-    /// Number of the first slot.
+    pending_replies: VecDeque<PendingReply>,
+    /// Index of the first pending reply.
     first: u64,
     /// No more is taken: the framing of the input is lost, or a time limit has passed.
     broken: bool,
@@ -272,30 +272,30 @@
     idle_since: Instant,
     /// When it will have rested; `None` once it has.
     rested_at: Option<Instant>,
-    front: Arc<Front>,
+    context: Arc<SessionContext>,
 }
 
 impl Session {
     async fn run(&mut self) -> Ended {
-        let mut phase = self.front.phase.clone();
-        let memory = self.front.memory.clone();
+        let mut phase = self.context.phase.clone();
+        let memory = self.context.memory.clone();
         // Until the machine has been asked: a client may have left while it waited to be accepted.
         tokio::task::yield_now().await;
         loop {
             self.take_commands().await;
             if self.output.is_none()
-                && let Some((bytes, _share)) = self.next_answer()
+                && let Some((bytes, _reservation)) = self.next_answer()
             {
-                self.output = Some(Output { bytes, by: Instant::now() + WRITTEN, _share });
+                self.output = Some(Output { bytes, by: Instant::now() + WRITTEN, _reservation });
             }
             if let Some(output) = &mut self.output {
                 match self.socket.try_write(&output.bytes) {
                     Ok(count) if count == output.bytes.len() => {
                         self.output = None;
                         self.idle_since = Instant::now();
-                        if self.slots.is_empty() {
-                            self.place.rest();
-                            self.rested_at = Some(Instant::now() + REST);
+                        if self.pending_replies.is_empty() {
+                            self.client_slot.set_idle();
+                            self.rested_at = Some(Instant::now() + MIN_IDLE_TIME);
                         }
                         continue;
                     }
@@ -307,50 +307,53 @@
                     Err(_) => return Ended::Gone,
                 }
             }
-            let owes = !self.slots.is_empty() || self.output.is_some();
+            let owes = !self.pending_replies.is_empty() || self.output.is_some();
             if !owes && self.broken {
                 return Ended::Closed;
             }
             let draining = *phase.borrow() == Phase::Draining;
-            let room = !self.broken && self.slots.len() < self.pipeline() && self.output.is_none();
+            let room = !self.broken && self.pending_replies.len() < self.pipeline() && self.output.is_none();
             if !room && self.whole_by.is_some() {
                 // While others wait ahead of it the rest of a command is not waited for.
                 self.whole_by = Some(Instant::now() + WHOLE);
             }
             // Against commands that together are longer than the memory: the long ones wait their turn, with
             // the client's own buffers, and those that wait too long are turned away.
-            let long = room && !self.input.skipping() && self.input.full();
+            let long = room && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
-            let open = self.slots.iter().any(Slot::open);
-            if self.socket.ended() && (open || !(room && !long && unread)) {
+            let open = self.pending_replies.iter().any(PendingReply::open);
+            if self.socket.read_closed() && (open || !(room && !long && unread)) {
                 // Against requests that are sent on for a client that has left: it may leave while nothing is
                 // taken, and for as long as its requests wait nothing may be.
                 return Ended::Gone;
             }
             // A client's end lies behind all that it has sent: what can't be kept is passed over.
-            if unread && !room && !self.broken && !self.input.skipping() && !self.input.grow() {
-                self.input.skip();
+            if unread && !room && !self.broken && !self.input.is_skipping() && !self.input.try_grow() {
+                self.input.start_skipping();
             }
-            let skips = self.broken || self.input.skipping();
+            let skips = self.broken || self.input.is_skipping();
             self.long_by = (long && open).then(|| self.long_by.unwrap_or_else(|| Instant::now() + LONG));
             let (long_by, next_piece) = (self.long_by, self.next_piece.max(Instant::now()));
             let between = !owes && self.input.is_empty() && !unread;
-            let asked = self.place.asked();
+            let asked = self.client_slot.eviction_requested();
             self.looked &= asked.is_some();
             // One that goes on to send what is no request is not waited for.
-            let chatters = |leave: &Leave| *leave == Leave::Stranger && self.first > PIPELINE.1 as u64;
+            let chatters =
+                |leave: &Eviction| *leave == Eviction::Unclassified && self.first > PIPELINE.1 as u64;
             if let Some(leave) = asked.filter(|leave| long || !unread || chatters(leave)) {
                 match leave {
                     // Against a request that the machine has and the runtime has not told of yet.
                     _ if room && !long && !std::mem::replace(&mut self.looked, true) => {
-                        self.socket.look_again()
+                        self.socket.assume_unread()
                     }
-                    Leave::Client | Leave::Stranger if between && self.first > 0 => return Ended::Closed,
-                    Leave::Client => self.place.stay(),
+                    Eviction::IdleClient | Eviction::Unclassified if between && self.first > 0 => {
+                        return Ended::Closed;
+                    }
+                    Eviction::IdleClient => self.client_slot.cancel_eviction(),
                     _ if owes => return Ended::Gone,
                     // Against a request that is lost because it crosses the close: what is under way finds its
                     // answer there. It is refused, as it is never read.
-                    Leave::Stranger | Leave::Newcomer => {
+                    Eviction::Unclassified | Eviction::NewlyAccepted => {
                         self.broken = true;
                         self.answer_now(REFUSAL);
                     }
@@ -361,16 +364,16 @@
             let whole_by = self.whole_by.filter(|_| room);
             tokio::select! {
                 biased;
-                answer = self.answered.recv() => {
+                answer = self.reply_receiver.recv() => {
                     self.longest = answer.as_ref().map_or(0, |a| a.bytes.len()).max(self.longest);
-                    if let Some(Answer { slot, bytes, share }) = answer
-                        && let Some(place) = self.slots.get_mut(slot.saturating_sub(self.first) as usize)
+                    if let Some(ClientReply { reply_index, bytes, reservation }) = answer
+                        && let Some(place) = self.pending_replies.get_mut(reply_index.saturating_sub(self.first) as usize)
                     {
-                        *place = Slot::Answer(bytes, share);
+                        *place = PendingReply::Ready(bytes, reservation);
                     }
                 }
                 () = tokio::task::yield_now(), if unread && !skips && !long => {
-                    let now = self.front.clock.now();
+                    let now = self.context.clock.now();
                     if left(self.socket.read(|piece| self.input.add(piece, now))) {
                         return Ended::Gone;
                     }
@@ -378,23 +381,23 @@
                 () = sleep_until(next_piece), if unread && skips => {
                     let late = next_piece.elapsed().saturating_sub(BUSY.0);
                     self.next_piece = Instant::now() + (PAUSE + BUSY.1 * late).min(BUSY.2);
-                    if left(self.socket.read_on(|piece| if !self.broken { self.input.add(piece, 0) })) {
+                    if left(self.socket.read_discarded(|piece| if !self.broken { self.input.add(piece, 0) })) {
                         return Ended::Gone;
                     }
                 }
-                share = memory.wait(2 * resp::MAX_VALUE), if long => self.input.hold(share, 2 * resp::MAX_VALUE),
-                () = until(long_by), if long_by.is_some() => self.input.skip(),
-                news = self.socket.news(self.output.is_some()) => {
+                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if long => self.input.add_reservation(reservation, 2 * resp::MAX_VALUE_BYTES),
+                () = until(long_by), if long_by.is_some() => self.input.start_skipping(),
+                news = self.socket.wait_ready(self.output.is_some()) => {
                     if news.is_err() {
                         return Ended::Gone;
                     }
                 }
                 _ = phase.changed(), if !draining => {}
                 () = std::future::ready(()), if draining && between => return Ended::Closed,
-                () = self.place.pressed() => {}
+                () = self.client_slot.wait_for_eviction_request() => {}
                 () = until(self.rested_at), if between && self.rested_at.is_some() => {
                     self.rested_at = None;
-                    self.place.rested();
+                    self.client_slot.evict_surplus_idle();
                 }
                 () = until(whole_by), if whole_by.is_some() => {
                     // Against clients that say nothing or leave a command half said: they hold a place that
@@ -413,78 +416,78 @@
     fn pipeline(&self) -> usize {
         match self.longest {
             0 => PIPELINE.0,
-            longest => (self.front.memory.all() / PIPELINE.2 / longest).clamp(1, PIPELINE.1),
+            longest => (self.context.memory.total_bytes() / PIPELINE.2 / longest).clamp(1, PIPELINE.1),
         }
     }
 
     /// Takes the commands that are whole. The limit on one that is not runs from its first byte.
     async fn take_commands(&mut self) {
         while !self.broken
-            && self.slots.len() < self.pipeline()
+            && self.pending_replies.len() < self.pipeline()
             && self.output.is_none()
             && let Some(next) = self.input.next()
         {
             match next {
-                Next::Command(words, at) => {
+                BufferItem::Command(words, received_at) => {
                     self.whole_by = None;
-                    self.command(words, at).await;
+                    self.command(words, received_at).await;
                 }
                 // Forced by memory: there was no room for them, and they were never sent.
-                Next::Skipped(more) => {
+                BufferItem::Skipped(more) => {
                     self.whole_by = None;
-                    match self.slots.back_mut() {
-                        Some(Slot::Refusals(count)) => *count += more,
-                        _ => self.slots.push_back(Slot::Refusals(more)),
+                    match self.pending_replies.back_mut() {
+                        Some(PendingReply::Refusals(count)) => *count += more,
+                        _ => self.pending_replies.push_back(PendingReply::Refusals(more)),
                     }
                 }
-                Next::Malformed(what) => {
+                BufferItem::Malformed(what) => {
                     self.answer_now(format!("-ERR protocol error: {what}\r\n"));
                     self.broken = true;
                 }
             }
         }
         if self.broken {
-            self.input = Backlog::new(self.front.memory.clone());
-        } else if self.input.begun() {
+            self.input = CommandBuffer::new(self.context.memory.clone());
+        } else if self.input.has_partial_command() {
             self.whole_by.get_or_insert_with(|| Instant::now() + WHOLE);
         }
     }
 
     /// The answer whose turn it is.
-    fn next_answer(&mut self) -> Option<(Bytes, Option<Share>)> {
-        let answer = match self.slots.front_mut()? {
-            Slot::Open { .. } => return None,
-            Slot::Answer(bytes, share) => (take(bytes), share.take()),
-            Slot::Refusals(count) => {
+    fn next_answer(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
+        let answer = match self.pending_replies.front_mut()? {
+            PendingReply::Open { .. } => return None,
+            PendingReply::Ready(bytes, reservation) => (take(bytes), reservation.take()),
+            PendingReply::Refusals(count) => {
                 let some = REFUSALS.min(*count);
                 *count -= some;
                 (REFUSAL.repeat(some as usize).into(), None)
             }
         };
-        if !matches!(self.slots.front(), Some(Slot::Refusals(1..))) {
-            self.slots.pop_front();
+        if !matches!(self.pending_replies.front(), Some(PendingReply::Refusals(1..))) {
+            self.pending_replies.pop_front();
             self.first += 1;
         }
         Some(answer)
     }
 
     fn answer_now(&mut self, answer: impl Into<Bytes>) {
-        self.slots.push_back(Slot::Answer(answer.into(), None));
+        self.pending_replies.push_back(PendingReply::Ready(answer.into(), None));
     }
 
-    async fn command(&mut self, words: Vec<Bytes>, at: Micros) {
+    async fn command(&mut self, words: Vec<Bytes>, received_at: Micros) {
         let name = words.first().map(|name| name.to_ascii_uppercase()).unwrap_or_default();
         let command = match name.as_slice() {
             b"PING" => {
-                let starting = *self.front.phase.borrow() == Phase::Starting;
+                let starting = *self.context.phase.borrow() == Phase::Starting;
                 return self.answer_now(if starting {
                     "-LOADING no list of servers yet\r\n"
                 } else {
                     "+PONG\r\n"
                 });
             }
-            b"OBJ.GET" => parse(&words, false, &self.front.deployment),
-            b"OBJ.SET" => parse(&words, true, &self.front.deployment),
+            b"OBJ.GET" => parse(&words, false, &self.context.deployment),
+            b"OBJ.SET" => parse(&words, true, &self.context.deployment),
             _ => Err("unknown command"),
         };
         match command {
@@ -493,36 +496,46 @@
             Ok(command) => {
                 // Forced by a full table of sockets: refused, as it was never sent. The connection may stay until
                 // another wants its place, since a client that loses it comes again on a new one.
-                if !self.place.hold() {
+                if !self.client_slot.begin_request() {
                     return self.answer_now(REFUSAL);
                 }
                 // Against work for nobody: there is no one to answer.
-                if self.socket.ended() {
+                if self.socket.read_closed() {
                     return self.answer_now(REFUSAL);
                 }
                 // Forced by the end of the process: on a connection that always has a request open there is no
                 // moment to close it in, and what is taken now could be unanswered when the platform kills the
                 // node. Refused, as it was never sent; another node takes it.
-                if *self.front.phase.borrow() == Phase::Draining {
+                if *self.context.phase.borrow() == Phase::Draining {
                     return self.answer_now(REFUSAL);
                 }
-                let Some(id) = Id::claim(&command.id, &self.front.ids) else {
+                let Some(id) = Id::claim(&command.id, &self.context.open_ids) else {
                     return self.answer_now("-ERR a request with this id is open\r\n");
                 };
                 // Forced by memory: a request that finds the table full is turned away, and was never sent.
                 let value = command.value.as_ref().map_or(0, Bytes::len);
-                let Some((permit, share)) = self.front.open.clone().try_acquire_owned().ok().zip(
-                    // The value, and the same on its way to the origin.
-                    self.front.memory.try_take(PIECE + 2 * value),
-                ) else {
+                let Some((permit, reservation)) =
+                    self.context.request_permits.clone().try_acquire_owned().ok().zip(
+                        // The value, and the same on its way to the origin.
+                        self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value),
+                    )
+                else {
                     return self.answer_now(REFUSAL);
                 };
-                let slot = self.first + self.slots.len() as u64;
-                self.slots.push_back(Slot::Open { counted: (permit, id) });
-                let (client, presence, answers) =
-                    (self.place.id(), self.socket.presence(), self.answers.clone());
-                let asked = Box::new(Asked { command, at, client, presence, slot, answers, share });
-                let _ = self.front.input_sender.send(Input::Asked(asked)).await;
+                let reply_index = self.first + self.pending_replies.len() as u64;
+                self.pending_replies.push_back(PendingReply::Open { counted: (permit, id) });
+                let (client, liveness, reply_sender) =
+                    (self.client_slot.id(), self.socket.liveness(), self.reply_sender.clone());
+                let asked = Box::new(ClientRequest {
+                    command,
+                    received_at,
+                    client,
+                    liveness,
+                    reply_index,
+                    reply_sender,
+                    reservation,
+                });
+                let _ = self.context.event_sender.send(NodeEvent::Request(asked)).await;
             }
         }
     }
@@ -574,9 +587,12 @@
             }
             "d" => wait = Some(number(value).ok_or("invalid d")?),
             "k" => keyed = !value.is_empty(),
-            "r" => command.repeat = matches!(value, "0" | "1").then_some(value == "1").ok_or("invalid r")?,
-            "h" => command.cost = Some(number(value).ok_or("invalid h")? as Micros),
-            "size" => command.size = number(value).ok_or("invalid size")? as f32,
+            "r" => {
+                command.client_retry =
+                    matches!(value, "0" | "1").then_some(value == "1").ok_or("invalid r")?
+            }
+            "h" => command.expected_work = Some(number(value).ok_or("invalid h")? as Micros),
+            "size" => command.value_bytes = number(value).ok_or("invalid size")? as f32,
             _ => {}
         }
     }
--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::stream_io::{self, Peeked};
+use crate::stream_io::{self, PeekResult};
 
 /// Input is read in pieces of this size; a command that is longer has to wait for memory.
-pub const PIECE: usize = 4096;
+pub const READ_CHUNK_BYTES: usize = 4096;
 /// Input that is not kept is read in pieces of this size.
 const THROWN: usize = 64 * 1024;
 
@@ -28,7 +28,7 @@
 const READ_ON: Duration = Duration::from_millis(50);
 
 /// A client's socket.
-pub struct Socket {
+pub struct ClientSocket {
     stream: Arc<TcpStream>,
     /// There may be input that was not read.
     unread: bool,
@@ -36,15 +36,15 @@
     ended: bool,
 }
 
-impl Socket {
+impl ClientSocket {
     /// The socket of a connection of which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
-        Socket { stream: Arc::new(stream), unread: true, ended: false }
+        ClientSocket { stream: Arc::new(stream), unread: true, ended: false }
     }
 
     /// Lets others look whether the client is still there.
-    pub fn presence(&self) -> Presence {
-        Presence(Arc::downgrade(&self.stream))
+    pub fn liveness(&self) -> ClientLiveness {
+        ClientLiveness(Arc::downgrade(&self.stream))
     }
 
     /// Whether there may be input to read.
@@ -53,17 +53,17 @@
     }
 
     /// There may be input of which no news has come yet.
-    pub fn look_again(&mut self) {
+    pub fn assume_unread(&mut self) {
         self.unread = true;
     }
 
     /// Whether the client has closed the connection or its half of it.
-    pub fn ended(&self) -> bool {
+    pub fn read_closed(&self) -> bool {
         self.ended || told_of_end(&self.stream)
     }
 
     /// Waits until something has come in, the client has closed or, if that is asked, something can be written.
-    pub async fn news(&mut self, to_write: bool) -> io::Result<()> {
+    pub async fn wait_ready(&mut self, to_write: bool) -> io::Result<()> {
         let interest = match (self.ended, to_write) {
             (false, false) => Interest::READABLE,
             (false, true) => Interest::READABLE | Interest::WRITABLE,
@@ -82,11 +82,11 @@
 
     /// Reads a piece of what is there; nothing at the end of the input.
     pub fn read(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
-        self.read_into(&mut [0; PIECE], take)
+        self.read_into(&mut [0; READ_CHUNK_BYTES], take)
     }
 
     /// Reads a long piece that is not kept.
-    pub fn read_on(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
+    pub fn read_discarded(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
         self.read_into(&mut [0; THROWN], take)
     }
 
@@ -96,7 +96,9 @@
         // Less than was asked for need not be all there was: urgent data or a signal can end a read early.
         self.unread = match &read {
             Ok(count) => {
-                self.ended() || *count == piece.len() || stream_io::peek(&self.stream) != Peeked::Nothing
+                self.read_closed()
+                    || *count == piece.len()
+                    || stream_io::peek(&self.stream) != PeekResult::Empty
             }
             Err(_) => false,
         };
@@ -111,7 +113,7 @@
 
     /// Reads on for a moment, and so much, after the last answer: a close with input unread would reset the
     /// connection and could take the answer away from the client.
-    pub async fn linger(&mut self, (time, bytes): (Duration, usize)) {
+    pub async fn lingering_close(&mut self, (time, bytes): (Duration, usize)) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let rest = async {
             let mut left = bytes;
@@ -120,7 +122,7 @@
                     Ok(0) => return,
                     Ok(count) => left = left.saturating_sub(count),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                        if self.news(false).await.is_err() {
+                        if self.wait_ready(false).await.is_err() {
                             return;
                         }
                     }
@@ -143,37 +145,37 @@
 /// Whether a client is still there, for those who are about to do something for it: its connection's task may
 /// be told later than the machine.
 #[derive(Clone, Debug)]
-pub struct Presence(Weak<TcpStream>);
+pub struct ClientLiveness(Weak<TcpStream>);
 
-impl Presence {
-    fn look(&self) -> Peeked {
+impl ClientLiveness {
+    fn look(&self) -> PeekResult {
         // A connection that has ended with a request open has lost its client.
-        let Some(stream) = self.0.upgrade() else { return Peeked::Ended };
+        let Some(stream) = self.0.upgrade() else { return PeekResult::Closed };
         // An end behind unread input is in what the runtime has last heard of the machine ...
         if told_of_end(&stream) {
-            return Peeked::Ended;
+            return PeekResult::Closed;
         }
         // ... and one behind nothing in what it says now.
         stream_io::peek(&stream)
     }
 
     /// Whether the client is known to have gone.
-    pub fn gone(&self) -> bool {
-        self.look() == Peeked::Ended
+    pub fn disconnected(&self) -> bool {
+        self.look() == PeekResult::Closed
     }
 
     /// Whether the client has gone, once its input has been read, or after a moment.
-    pub async fn gone_behind_its_input(&self) -> bool {
+    pub async fn disconnected_after_unread_input(&self) -> bool {
         let by = Instant::now() + READ_ON;
         // At first only until all that is ready has run, and the machine has been asked.
         let mut pause = Duration::ZERO;
         loop {
             match self.look() {
-                Peeked::Ended => return true,
-                Peeked::Nothing => return false,
-                Peeked::Unread if Instant::now() >= by => return false,
-                Peeked::Unread if pause.is_zero() => tokio::task::yield_now().await,
-                Peeked::Unread => tokio::time::sleep(pause).await,
+                PeekResult::Closed => return true,
+                PeekResult::Empty => return false,
+                PeekResult::DataAvailable if Instant::now() >= by => return false,
+                PeekResult::DataAvailable if pause.is_zero() => tokio::task::yield_now().await,
+                PeekResult::DataAvailable => tokio::time::sleep(pause).await,
             }
             pause = Duration::from_millis(1);
         }
--- a/src/bin/pondproxy-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -6,11 +6,11 @@
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::discovery::Listing;
+use crate::discovery::ListUpdate;
 
 /// All that a node is told at its start.
 #[derive(Debug)]
-pub struct Config {
+pub struct NodeConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery is asked.
@@ -22,7 +22,7 @@
     /// Memory that the node may have in all, in megabytes.
     pub memory_mb: usize,
     /// The list of servers as this node last had it.
-    pub known: Listing,
+    pub known: ListUpdate,
     /// The settings.
     pub deployment: Deployment,
 }
@@ -56,19 +56,19 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct File {
+struct ConfigFile {
     listen: String,
     discovery: String,
     seed: String,
     limits: Limits,
-    known: Option<Listing>,
+    known: Option<ListUpdate>,
     settings: Option<Box<serde_json::value::RawValue>>,
 }
 
-impl Default for File {
+impl Default for ConfigFile {
     fn default() -> Self {
         let (listen, discovery, seed) = (String::new(), String::new(), String::new());
-        File { listen, discovery, seed, limits: Limits::default(), known: None, settings: None }
+        ConfigFile { listen, discovery, seed, limits: Limits::default(), known: None, settings: None }
     }
 }
 
@@ -91,23 +91,23 @@
 /// Less memory than this leaves no room beside the program itself.
 const LEAST_MEMORY_MB: usize = 16;
 
-impl Config {
+impl NodeConfig {
     /// Reads the configuration that the environment names, at the start.
-    pub fn from_env() -> Result<Config, ConfigError> {
+    pub fn from_env() -> Result<NodeConfig, ConfigError> {
         Self::read(false)
     }
 
     /// Reads it again. Against a reload that changes nothing: the environment is that of the start, so what
     /// the file says of discovery goes before it now.
-    pub fn again() -> Result<Config, ConfigError> {
+    pub fn reload() -> Result<NodeConfig, ConfigError> {
         Self::read(true)
     }
 
-    fn read(again: bool) -> Result<Config, ConfigError> {
+    fn read(again: bool) -> Result<NodeConfig, ConfigError> {
         let var = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
         let path = var("ROUTER_CONFIG").ok_or(ConfigError::Unset("ROUTER_CONFIG"))?;
         let text = std::fs::read(&path).map_err(|e| ConfigError::File(path, e))?;
-        let file: File = serde_json::from_slice(&text).map_err(ConfigError::Json)?;
+        let file: ConfigFile = serde_json::from_slice(&text).map_err(ConfigError::Json)?;
         let address = |name, value: String| value.parse().map_err(|_| ConfigError::Field(name, value));
         let settings = file.settings.ok_or_else(|| ConfigError::Field("settings", String::new()))?;
         let deployment = settings::parse(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
@@ -125,7 +125,7 @@
             _ => file.discovery,
         };
         let seed = u64::from_str_radix(&file.seed, 16);
-        Ok(Config {
+        Ok(NodeConfig {
             listen: address("listen", var("ROUTER_LISTEN").unwrap_or(file.listen))?,
             discovery: address("discovery", discovery)?,
             seed: seed.unwrap_or_else(|_| xxh3_64(file.seed.as_bytes())),
--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -13,7 +13,7 @@
 /// being closed.
 const RESERVE: usize = 16;
 /// A connection on which nothing is open may go after this long, where others want its place.
-pub const REST: Duration = Duration::from_secs(2);
+pub const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
 /// While no place is free, one is looked for again after this long at the latest: time makes more connections
 /// ready to give way, and nothing tells of it.
 const AGAIN: Duration = Duration::from_millis(20);
@@ -21,8 +21,8 @@
 /// Names a client's connection; never used twice.
 pub type ClientId = u64;
 
-/// The table of places, as many as there are descriptors beside the reserve.
-pub struct Places {
+/// The table of connection slots, as many as there are descriptors beside the reserve.
+pub struct ConnectionSlots {
     /// All of them.
     all: usize,
     /// As many as clients may have, and servers too: what this leaves is sure for the others.
@@ -32,17 +32,17 @@
     spare: usize,
     /// So many are left to servers by newcomers, whatever servers have already.
     ahead: usize,
-    /// From so many connections of clients on, those that have rested go also where nobody wants their places.
+    /// From so many connections of clients on, those that have rested go also where nobody wants their connection slots.
     /// Clients use at most a third of the descriptors, so that some of them want one and don't come.
     many: usize,
-    taken: Mutex<Taken>,
+    taken: Mutex<SlotTable>,
     freed: Notify,
 }
 
 #[derive(Default)]
-struct Taken {
+struct SlotTable {
     servers: usize,
-    clients: HashMap<ClientId, Standing>,
+    clients: HashMap<ClientId, ClientEntry>,
     /// The name that was given last.
     last: ClientId,
     /// The listener may have a newcomer in its hand that has no place yet.
@@ -50,14 +50,14 @@
 }
 
 /// How a client's connection stands.
-struct Standing {
-    state: State,
+struct ClientEntry {
+    state: ClientState,
     /// It gives its place up or was asked to.
     going: bool,
     wake: Arc<Notify>,
 }
 
-impl Standing {
+impl ClientEntry {
     /// Asks the connection to give its place up.
     fn ask(&mut self) {
         self.going = true;
@@ -66,72 +66,72 @@
 }
 
 #[derive(Clone, Copy)]
-enum State {
+enum ClientState {
     /// No request was taken on it yet, so whoever is there may be no client. Since it came, or since a request
     /// of it was refused for want of a place.
-    Stranger(Instant),
+    Unclassified(Instant),
     /// A request is open on it.
     Open,
     /// Nothing was open on it since then. What is no request does not count, however often it comes.
-    Resting(Instant),
+    Idle(Instant),
 }
 
-impl State {
+impl ClientState {
     /// Whose turn it is to give way, the lowest first: strangers that have had their time, clients that have
     /// rested for as long, strangers that have not. Nobody else has to.
     fn turn(self, now: Instant) -> Option<(u8, Instant)> {
         match self {
-            State::Stranger(since) if since + REST <= now => Some((0, since)),
-            State::Resting(since) if since + REST <= now => Some((1, since)),
-            State::Stranger(since) => Some((2, since)),
-            State::Open | State::Resting(_) => None,
+            ClientState::Unclassified(since) if since + MIN_IDLE_TIME <= now => Some((0, since)),
+            ClientState::Idle(since) if since + MIN_IDLE_TIME <= now => Some((1, since)),
+            ClientState::Unclassified(since) => Some((2, since)),
+            ClientState::Open | ClientState::Idle(_) => None,
         }
     }
 }
 
 /// How a connection may give its place up.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Leave {
+pub enum Eviction {
     /// A client's, which may be closed between requests.
-    Client,
+    IdleClient,
     /// No request was ever taken on it, and it has had its time.
-    Stranger,
+    Unclassified,
     /// The same, but a request may well be under way: one that is must find a refusal.
-    Newcomer,
+    NewlyAccepted,
 }
 
-impl Places {
+impl ConnectionSlots {
     /// The table of a node that may have so many sockets. Clients and servers share it; neither can take more of
     /// it than leaves the others a third at the least.
-    pub fn new(sockets: usize) -> Arc<Places> {
+    pub fn new(sockets: usize) -> Arc<ConnectionSlots> {
         let all = sockets - (RESERVE + sockets / 32).min(sockets / 2);
         let part = all * 2 / 3;
         let spare = (part / 8).max(1);
         let (ahead, taken, freed) = ((spare / 2).max(1), Mutex::default(), Notify::new());
         let many = sockets / 3 - sockets / 24;
-        Arc::new(Places { all, part, spare, ahead, many, taken, freed })
+        Arc::new(ConnectionSlots { all, part, spare, ahead, many, taken, freed })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Taken> {
+    fn lock(&self) -> MutexGuard<'_, SlotTable> {
         self.taken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Places that newcomers may still take while servers have so many.
-    fn free(&self, taken: &Taken, servers: usize) -> usize {
+    /// Connection slots that newcomers may still take while servers have so many.
+    fn free(&self, taken: &SlotTable, servers: usize) -> usize {
         let left = self.all.saturating_sub(taken.clients.len() + servers + self.ahead);
         left.min(self.part.saturating_sub(taken.clients.len()))
     }
 
     /// The listener begins to wait for newcomers, or has given up. The one that it has in its hand is counted in the
     /// reserve.
-    pub fn listening(&self, on: bool) {
+    pub fn set_accepting(&self, on: bool) {
         self.lock().listening = on;
     }
 
     /// A place for a newcomer, if there is one. Against newcomers that wait with the machine, unseen, for as long as
-    /// those before them stay: while few places are left, another gives way for each of them; once none is left
+    /// those before them stay: while few slots are left, another gives way for each of them; once none is left
     /// there are more than that, and so must those be who go.
-    pub fn newcomer(self: &Arc<Self>) -> Option<Place> {
+    pub fn acquire_for_client(self: &Arc<Self>) -> Option<ClientSlot> {
         let mut taken = self.lock();
         taken.relieve(self.many);
         let free = self.free(&taken, taken.servers);
@@ -145,24 +145,24 @@
         }
         taken.last += 1;
         let (id, wake) = (taken.last, Arc::<Notify>::default());
-        let state = State::Stranger(Instant::now());
-        taken.clients.insert(id, Standing { state, going: false, wake: wake.clone() });
-        Some(Place { id, places: self.clone(), wake })
+        let state = ClientState::Unclassified(Instant::now());
+        taken.clients.insert(id, ClientEntry { state, going: false, wake: wake.clone() });
+        Some(ClientSlot { id, connection_slots: self.clone(), wake })
     }
 
     /// Waits until a place may have come free.
-    pub async fn changed(&self) {
+    pub async fn wait_for_free_slot(&self) {
         let _ = tokio::time::timeout(AGAIN, self.freed.notified()).await;
     }
 
-    /// Whether few places are left to newcomers since connections to servers hold more than is sure to them.
-    pub fn servers_in_the_way(&self) -> bool {
+    /// Whether few slots are left to newcomers since connections to servers hold more than is sure to them.
+    pub fn servers_limit_clients(&self) -> bool {
         let taken = self.lock();
         taken.servers > self.sure() && self.free(&taken, taken.servers) < self.spare
     }
 
     /// A place for a connection to a server, if there is one.
-    pub fn server(self: &Arc<Self>) -> Option<ServerPlace> {
+    pub fn acquire_for_server(self: &Arc<Self>) -> Option<ServerSlot> {
         let mut taken = self.lock();
         let left = self.all.saturating_sub(taken.clients.len() + taken.servers);
         let sure = taken.servers < self.sure();
@@ -175,22 +175,22 @@
             // Against requests that find no connection to a server while idle peers have all that is not sure.
             taken.make_room(1);
         }
-        Some(ServerPlace(self.clone()))
+        Some(ServerSlot(self.clone()))
     }
 
-    /// Places that are sure to servers.
+    /// Connection slots that are sure to servers.
     fn sure(&self) -> usize {
         self.all - self.part
     }
 
     /// Whether no client is connected, and the listener waits for none.
-    pub fn deserted(&self) -> bool {
+    pub fn no_clients(&self) -> bool {
         let taken = self.lock();
         taken.clients.is_empty() && !taken.listening
     }
 }
 
-impl Taken {
+impl SlotTable {
     /// How many connections, but for one, give way to newcomers or are about to go.
     fn loose(&self, but: Option<ClientId>) -> usize {
         let now = Instant::now();
@@ -201,7 +201,7 @@
     /// Asks clients that have rested to go, as far as there are more clients than so many.
     fn relieve(&mut self, many: usize) {
         let now = Instant::now();
-        let client = |s: &&mut Standing| !s.going && !matches!(s.state, State::Stranger(_));
+        let client = |s: &&mut ClientEntry| !s.going && !matches!(s.state, ClientState::Unclassified(_));
         let clients: Vec<_> = self.clients.values_mut().filter(client).collect();
         let over = clients.len().saturating_sub(many);
         let rested = clients.into_iter().filter_map(|s| Some((s.state.turn(now)?, s)));
@@ -210,7 +210,7 @@
         rested.into_iter().take(over).for_each(|(_, standing)| standing.ask());
     }
 
-    /// Asks up to so many connections to give their places up, those whose turn it is. One that goes keeps its place
+    /// Asks up to so many connections to give their slots up, those whose turn it is. One that goes keeps its place
     /// for a moment longer, so that were all asked at once, all would have to go as soon as they have come: at most
     /// half of those that give way go at the same time.
     fn make_room(&mut self, count: usize) {
@@ -225,13 +225,13 @@
 }
 
 /// The place of a client's connection; free again when dropped.
-pub struct Place {
+pub struct ClientSlot {
     id: ClientId,
-    places: Arc<Places>,
+    connection_slots: Arc<ConnectionSlots>,
     wake: Arc<Notify>,
 }
 
-impl Place {
+impl ClientSlot {
     /// The connection's name.
     pub fn id(&self) -> ClientId {
         self.id
@@ -239,79 +239,81 @@
 
     /// A request has come that is a proper one; whether it may be taken. From then on, and for as long as the
     /// terms want, the connection gives way to nobody.
-    pub fn hold(&self) -> bool {
-        let (mut taken, now) = (self.places.lock(), Instant::now());
+    pub fn begin_request(&self) -> bool {
+        let (mut taken, now) = (self.connection_slots.lock(), Instant::now());
         // What is sure to servers is left to them, as the request may need one of them.
-        let free = self.places.free(&taken, taken.servers.max(self.places.sure()));
+        let free = self.connection_slots.free(&taken, taken.servers.max(self.connection_slots.sure()));
         let loose = taken.loose(Some(self.id));
         let Some(standing) = taken.clients.get_mut(&self.id) else { return false };
-        if standing.state.turn(now).is_some() && free + loose < self.places.spare {
-            if let State::Stranger(since) = &mut standing.state {
+        if standing.state.turn(now).is_some() && free + loose < self.connection_slots.spare {
+            if let ClientState::Unclassified(since) = &mut standing.state {
                 *since = now;
             }
             return false;
         }
-        (standing.state, standing.going) = (State::Open, false);
+        (standing.state, standing.going) = (ClientState::Open, false);
         true
     }
 
     /// Nothing is owed on the connection.
-    pub fn rest(&self) {
-        if let Some(standing) = self.places.lock().clients.get_mut(&self.id)
-            && matches!(standing.state, State::Open)
+    pub fn set_idle(&self) {
+        if let Some(standing) = self.connection_slots.lock().clients.get_mut(&self.id)
+            && matches!(standing.state, ClientState::Open)
         {
-            standing.state = State::Resting(Instant::now());
+            standing.state = ClientState::Idle(Instant::now());
         }
     }
 
     /// A client has rested for as long as the terms want.
-    pub fn rested(&self) {
-        self.places.lock().relieve(self.places.many);
+    pub fn evict_surplus_idle(&self) {
+        self.connection_slots.lock().relieve(self.connection_slots.many);
     }
 
     /// Whether the connection is asked to give its place up.
-    pub fn asked(&self) -> Option<Leave> {
-        let taken = self.places.lock();
+    pub fn eviction_requested(&self) -> Option<Eviction> {
+        let taken = self.connection_slots.lock();
         let standing = taken.clients.get(&self.id).filter(|standing| standing.going)?;
         Some(match standing.state {
-            State::Open | State::Resting(_) => Leave::Client,
-            State::Stranger(since) if since + REST <= Instant::now() => Leave::Stranger,
-            State::Stranger(_) => Leave::Newcomer,
+            ClientState::Open | ClientState::Idle(_) => Eviction::IdleClient,
+            ClientState::Unclassified(since) if since + MIN_IDLE_TIME <= Instant::now() => {
+                Eviction::Unclassified
+            }
+            ClientState::Unclassified(_) => Eviction::NewlyAccepted,
         })
     }
 
     /// Waits until the connection may have been asked.
-    pub async fn pressed(&self) {
+    pub async fn wait_for_eviction_request(&self) {
         self.wake.notified().await;
     }
 
     /// The connection is about to close by itself: there is no need to ask it.
-    pub fn leaving(&self) {
-        if let Some(standing) = self.places.lock().clients.get_mut(&self.id) {
+    pub fn set_closing(&self) {
+        if let Some(standing) = self.connection_slots.lock().clients.get_mut(&self.id) {
             standing.going = true;
         }
     }
 
     /// A client is in the midst of a command and stays for now.
-    pub fn stay(&self) {
-        if let Some(standing) = self.places.lock().clients.get_mut(&self.id) {
-            (standing.state, standing.going) = (State::Resting(Instant::now()), false);
+    pub fn cancel_eviction(&self) {
+        if let Some(standing) = self.connection_slots.lock().clients.get_mut(&self.id) {
+            (standing.state, standing.going) = (ClientState::Idle(Instant::now()), false);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
-        let mut taken = self.places.lock();
+        let mut taken = self.connection_slots.lock();
         taken.clients.remove(&self.id);
-        self.places.freed.notify_one();
+        self.connection_slots.freed.notify_one();
     }
 }
 
 /// The place of a connection to a server; free again when dropped.
-pub struct ServerPlace(Arc<Places>);
+pub struct ServerSlot(Arc<ConnectionSlots>);
 
-impl Drop for ServerPlace {
+impl Drop for ServerSlot {
     fn drop(&mut self) {
         self.0.lock().servers -= 1;
         self.0.freed.notify_one();
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -1,4 +1,4 @@
-//! The calls to discovery that are out: which one is in force, and which it has replaced. Decides nothing of when one
+//! The calls to discovery that are out: which one is in force, and which it has superseded. Decides nothing of when one
 //! is made, and does not look into what they bring.
 
 mod call;
@@ -15,16 +15,16 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::event_loop::Input;
+use crate::event_loop::NodeEvent;
 use call::Call;
-pub use list::{Endpoint, Listing};
+pub use list::{Endpoint, ListUpdate};
 
 /// Pauses before a watch on pushed lists is opened again: the first, and the longest.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 /// The longest is no more than this part of the time within which sends to a server that drains must stop:
 /// what the agent learns counts as notified at once, also while no watch is open.
 const GRACE_PART: u32 = 4;
-/// Calls that were replaced and have not ended yet, at most: each holds a descriptor of the node's reserve.
+/// Calls that were superseded and have not ended yet, at most: each holds a descriptor of the node's reserve.
 const MAX_REPLACED: usize = 3;
 
 /// Names a call to discovery; never used twice.
@@ -32,35 +32,35 @@
 
 /// What a call to discovery brings.
 #[derive(Debug)]
-pub enum CallNews {
+pub enum CallEvent {
     /// A list or a change.
-    List(Listing),
+    List(ListUpdate),
     /// What came whole of a list that was cut off.
-    Fragment(Listing),
+    PartialList(ListUpdate),
     /// All that discovery had to tell at first has come.
-    Answered,
+    Synchronized,
     /// The call failed or the watch ended, and for how long nothing had been heard.
-    Failed { failure: DiscoveryFailure, unheard: Duration },
+    Failed { failure: DiscoveryFailure, since_last_contact: Duration },
 }
 
 /// How a call stands to the others.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
+pub enum CallStatus {
     /// What it brings is in force.
-    InForce,
+    Current,
     /// Another was made in its place and has not been answered yet.
-    Replaced,
+    Superseded,
     /// It is over, or the one in its place has been answered.
     Ended,
 }
 
 /// A call that is out; ends when dropped.
-struct OpenCall {
+struct CallTask {
     id: CallId,
     task: AbortHandle,
 }
 
-impl Drop for OpenCall {
+impl Drop for CallTask {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -73,12 +73,12 @@
     moved: Option<SocketAddr>,
     /// Version of the list held.
     index: Arc<AtomicU64>,
-    input_sender: mpsc::Sender<Input>,
-    watch: Option<OpenCall>,
-    /// Watches that the present one has replaced. They go on until it is answered: what discovery writes to them counts
+    event_sender: mpsc::Sender<NodeEvent>,
+    watch: Option<CallTask>,
+    /// Watches that the present one has superseded. They go on until it is answered: what discovery writes to them counts
     /// as notified, and the new call may wait in line or be turned away.
-    replaced: VecDeque<OpenCall>,
-    fetch: Option<OpenCall>,
+    superseded: VecDeque<CallTask>,
+    fetch: Option<CallTask>,
     /// The call that was made last.
     last: CallId,
     /// The watch that was opened last, for those that would open theirs again.
@@ -93,15 +93,15 @@
         address: SocketAddr,
         index: u64,
         drain_grace: Duration,
-        input_sender: mpsc::Sender<Input>,
+        event_sender: mpsc::Sender<NodeEvent>,
     ) -> Self {
         Discovery {
             address,
             moved: None,
             index: Arc::new(AtomicU64::new(index)),
-            input_sender,
+            event_sender,
             watch: None,
-            replaced: VecDeque::new(),
+            superseded: VecDeque::new(),
             fetch: None,
             last: 0,
             followed: Arc::default(),
@@ -116,7 +116,7 @@
     }
 
     /// Whether it has moved, and no call has been made since.
-    pub fn moving(&self) -> bool {
+    pub fn move_pending(&self) -> bool {
         self.moved.is_some()
     }
 
@@ -126,27 +126,27 @@
     }
 
     /// How a call stands to the others.
-    pub fn standing(&self, id: CallId) -> Standing {
-        let is = |call: &OpenCall| call.id == id;
+    pub fn call_status(&self, id: CallId) -> CallStatus {
+        let is = |call: &CallTask| call.id == id;
         if self.watch.iter().chain(&self.fetch).any(is) {
-            Standing::InForce
-        } else if self.replaced.iter().any(is) {
-            Standing::Replaced
+            CallStatus::Current
+        } else if self.superseded.iter().any(is) {
+            CallStatus::Superseded
         } else {
-            Standing::Ended
+            CallStatus::Ended
         }
     }
 
-    /// The call in force is answered: those that it has replaced are of no more use.
-    pub fn answered(&mut self) {
-        self.replaced.clear();
+    /// The call in force is answered: those that it has superseded are of no more use.
+    pub fn close_superseded(&mut self) {
+        self.superseded.clear();
     }
 
     /// A call has ended by itself.
-    pub fn ended(&mut self, id: CallId) {
+    pub fn call_ended(&mut self, id: CallId) {
         self.watch.take_if(|call| call.id == id);
         self.fetch.take_if(|call| call.id == id);
-        self.replaced.retain(|call| call.id != id);
+        self.superseded.retain(|call| call.id != id);
     }
 
     /// Version of the list held.
@@ -155,7 +155,7 @@
     }
 
     /// A list of a version is held now.
-    pub fn held(&self, index: u64) {
+    pub fn set_index(&self, index: u64) {
         self.index.store(index, Ordering::Relaxed);
     }
 
@@ -163,7 +163,7 @@
     pub fn subscribe(&mut self, on: bool) {
         let call = self.next_call();
         if !on {
-            return self.replaced.clear();
+            return self.superseded.clear();
         }
         let (id, index) = (call.id, self.index.clone());
         let call = call.begin();
@@ -177,14 +177,14 @@
     }
 
     /// Where lists are pushed, an agent on this machine has them: its watch is opened again by itself.
-    pub fn follow(&mut self) {
+    pub fn watch_pushed_lists(&mut self) {
         let next = self.next_call();
         let (id, index, drain_grace) = (next.id, self.index.clone(), self.drain_grace);
         self.followed.store(id, Ordering::Relaxed);
         let followed = self.followed.clone();
         let follow = async move {
             let mut pause = BACKOFF.0;
-            // One that was replaced stays to its end and is not opened again.
+            // One that was superseded stays to its end and is not opened again.
             while followed.load(Ordering::Relaxed) == id {
                 let begun = Instant::now();
                 next.begin().watch_quietly(&index).await;
@@ -198,9 +198,9 @@
     /// Turns to where discovery is now, and sets the watch that is open aside until the next call is answered. Against a
     /// list that stands still: a new discovery counts versions in its own way, so that the whole list is taken from it.
     fn next_call(&mut self) -> NextCall {
-        self.replaced.extend(self.watch.take());
-        if self.replaced.len() > MAX_REPLACED {
-            self.replaced.pop_front();
+        self.superseded.extend(self.watch.take());
+        if self.superseded.len() > MAX_REPLACED {
+            self.superseded.pop_front();
         }
         if let Some(address) = self.moved.take() {
             (self.address, self.index, self.fetch) = (address, Arc::default(), None);
@@ -211,7 +211,7 @@
     /// A call to where discovery was called last.
     fn call_here(&mut self) -> NextCall {
         self.last += 1;
-        NextCall { id: self.last, address: self.address, input_sender: self.input_sender.clone() }
+        NextCall { id: self.last, address: self.address, event_sender: self.event_sender.clone() }
     }
 }
 
@@ -219,17 +219,17 @@
 struct NextCall {
     id: CallId,
     address: SocketAddr,
-    input_sender: mpsc::Sender<Input>,
+    event_sender: mpsc::Sender<NodeEvent>,
 }
 
 impl NextCall {
     fn begin(&self) -> Call {
-        Call::new(self.id, self.address, self.input_sender.clone())
+        Call::new(self.id, self.address, self.event_sender.clone())
     }
 }
 
-fn open(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> OpenCall {
-    OpenCall { id, task: tokio::spawn(call).abort_handle() }
+fn open(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> CallTask {
+    CallTask { id, task: tokio::spawn(call).abort_handle() }
 }
 
 /// The pause after a watch on pushed lists that stood for some time, and after a pause before it.
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::list::{self, Listing, Malformed};
-use super::{CallId, CallNews};
-use crate::event_loop::Input;
-use crate::http::{self, Chunks};
+use super::list::{self, ListUpdate, MalformedList};
+use super::{CallEvent, CallId};
+use crate::event_loop::NodeEvent;
+use crate::http::{self, ChunkedDecoder};
 use crate::log;
 use crate::stream_io;
 
@@ -78,14 +78,14 @@
     }
 }
 
-impl From<http::Malformed> for CallError {
-    fn from(_: http::Malformed) -> Self {
+impl From<http::MalformedResponse> for CallError {
+    fn from(_: http::MalformedResponse) -> Self {
         CallError::Malformed
     }
 }
 
-impl From<Malformed> for CallError {
-    fn from(_: Malformed) -> Self {
+impl From<MalformedList> for CallError {
+    fn from(_: MalformedList) -> Self {
         CallError::Malformed
     }
 }
@@ -94,7 +94,7 @@
 pub struct Call {
     id: CallId,
     address: SocketAddr,
-    input_sender: mpsc::Sender<Input>,
+    event_sender: mpsc::Sender<NodeEvent>,
     /// Until when all that discovery had to tell has been heard.
     heard: Instant,
     /// Whether anything has been heard.
@@ -103,8 +103,8 @@
 
 impl Call {
     /// A call that begins now.
-    pub fn new(id: CallId, address: SocketAddr, input_sender: mpsc::Sender<Input>) -> Self {
-        Call { id, address, input_sender, heard: Instant::now(), answered: false }
+    pub fn new(id: CallId, address: SocketAddr, event_sender: mpsc::Sender<NodeEvent>) -> Self {
+        Call { id, address, event_sender, heard: Instant::now(), answered: false }
     }
 
     /// Opens a watch on what changes after a version, and reports how it ended.
@@ -131,8 +131,8 @@
         }
     }
 
-    async fn report(&self, news: CallNews) {
-        let _ = self.input_sender.send(Input::Discovery(self.id, news)).await;
+    async fn report(&self, news: CallEvent) {
+        let _ = self.event_sender.send(NodeEvent::Discovery(self.id, news)).await;
     }
 
     /// Logs how the call ended, and tells as much as matters for the next.
@@ -142,7 +142,7 @@
             Err(e) => log(&format!("discovery: {e}")),
         }
         let failure = ended.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.answered));
-        self.report(CallNews::Failed { failure, unheard: self.heard.elapsed() }).await;
+        self.report(CallEvent::Failed { failure, since_last_contact: self.heard.elapsed() }).await;
     }
 
     /// Makes the call and reports each list of its answer, until that ends.
@@ -156,7 +156,7 @@
         }
         log(&format!("discovery: {} answers after {} ms", self.address, begun.elapsed().as_millis()));
         let mut body = Body { left: head.content_length.unwrap_or(usize::MAX), ..Body::default() };
-        body.chunks = head.chunked.then(Chunks::default);
+        body.chunks = head.chunked.then(ChunkedDecoder::default);
         let ended = self.read_lists(&stream, &mut raw, &mut body).await;
         if ended.is_err() {
             self.report_fragment(&body.content).await;
@@ -211,23 +211,23 @@
     async fn report_fragment(&self, content: &[u8]) {
         let endpoints = list::whole_entries(content);
         if !endpoints.is_empty() {
-            self.report(CallNews::Fragment(Listing { endpoints, ..Listing::default() })).await;
+            self.report(CallEvent::PartialList(ListUpdate { endpoints, ..ListUpdate::default() })).await;
         }
     }
 
     /// Reports the lists that are whole; tells whether there was one, or an empty line.
     async fn report_lists(&mut self, content: &mut BytesMut) -> Result<bool, CallError> {
-        let taken = list::take(content)?;
+        let taken = list::take_lists(content)?;
         for list in taken.lists {
-            self.report(CallNews::List(list)).await;
+            self.report(CallEvent::List(list)).await;
         }
-        if taken.heard {
+        if taken.any_received {
             self.heard = Instant::now();
             if !std::mem::replace(&mut self.answered, true) {
-                self.report(CallNews::Answered).await;
+                self.report(CallEvent::Synchronized).await;
             }
         }
-        Ok(taken.heard)
+        Ok(taken.any_received)
     }
 }
 
@@ -244,7 +244,7 @@
 }
 
 /// Reads until the head of the answer is whole, and takes it off what was read.
-async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::Head, CallError> {
+async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
     let by = Instant::now() + ANSWER;
     loop {
         let count = timeout_at(by, read_piece(stream, raw)).await.map_err(|_| CallError::Silent)??;
@@ -264,7 +264,7 @@
     /// Its content, as far as it was not taken for a list.
     content: BytesMut,
     /// Takes the chunks apart, where it comes in such.
-    chunks: Option<Chunks>,
+    chunks: Option<ChunkedDecoder>,
     /// What is still to come of a stated length.
     left: usize,
     /// Nothing more belongs to it.
@@ -273,9 +273,9 @@
 
 impl Body {
     /// Takes what belongs to it off what was read.
-    fn take(&mut self, raw: &mut BytesMut) -> Result<(), http::Malformed> {
+    fn take(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
         if let Some(chunks) = &mut self.chunks {
-            self.ended |= chunks.take(raw, &mut self.content)?;
+            self.ended |= chunks.decode(raw, &mut self.content)?;
         } else {
             let part = raw.split_to(raw.len().min(self.left));
             self.left -= part.len();
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -5,7 +5,7 @@
 
 /// A list of servers, or a change of it.
 #[derive(Deserialize, Default, Debug)]
-pub struct Listing {
+pub struct ListUpdate {
     /// Its version.
     #[serde(default)]
     pub index: u64,
@@ -29,7 +29,7 @@
     pub zone: String,
     /// Its machine kind.
     #[serde(default, rename = "type")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its group of servers.
     #[serde(default)]
     pub group: u16,
@@ -49,21 +49,21 @@
 
 /// What came is no list.
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub struct Malformed;
+pub struct MalformedList;
 
 /// What was taken off the front of a call's answer.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct ParsedLists {
     /// The lists that were whole.
-    pub lists: Vec<Listing>,
+    pub lists: Vec<ListUpdate>,
     /// Whether there was a list, or the empty line that stands for no change.
-    pub heard: bool,
+    pub any_received: bool,
 }
 
 /// Takes the lists that are whole off the front of what came. They may be indented: what ends one is its end, not
 /// that of a line.
-pub fn take(body: &mut BytesMut) -> Result<Taken, Malformed> {
-    let mut parsed = serde_json::Deserializer::from_slice(body).into_iter::<Listing>();
+pub fn take_lists(body: &mut BytesMut) -> Result<ParsedLists, MalformedList> {
+    let mut parsed = serde_json::Deserializer::from_slice(body).into_iter::<ListUpdate>();
     let (mut lists, mut used) = (Vec::new(), 0);
     while let Some(list) = parsed.next() {
         match list {
@@ -72,14 +72,14 @@
                 used = parsed.byte_offset();
             }
             Err(e) if e.is_eof() => break,
-            Err(_) => return Err(Malformed),
+            Err(_) => return Err(MalformedList),
         }
     }
     let rest = &body[used..];
     let blank = rest.len() - rest.trim_ascii_start().len();
-    let heard = used > 0 || rest[..blank].contains(&b'\n');
+    let any_received = used > 0 || rest[..blank].contains(&b'\n');
     body.advance(used + blank);
-    Ok(Taken { lists, heard })
+    Ok(ParsedLists { lists, any_received })
 }
 
 /// The entries that came whole of a list that was cut off.
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -16,31 +16,31 @@
 };
 use tokio::sync::{mpsc, watch};
 
-use crate::client_sessions::{Answer, Asked, Command, Phase};
-use crate::client_socket::Presence;
-use crate::config::Config;
-use crate::connection_slots::{ClientId, Places};
-use crate::discovery::{CallId, CallNews, Discovery, Listing};
-use crate::memory_budget::{Memory, Share};
+use crate::client_sessions::{ClientReply, ClientRequest, Command, Phase};
+use crate::client_socket::ClientLiveness;
+use crate::config::NodeConfig;
+use crate::connection_slots::{ClientId, ConnectionSlots};
+use crate::discovery::{CallEvent, CallId, Discovery, ListUpdate};
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::server_table::ServerTable;
-use crate::upstream_pool::{AttemptKey, ConnId, News, Pool, Reply, Speech};
+use crate::upstream_pool::{AttemptId, ConnEvent, ConnId, Protocol, ServerReply, UpstreamPool};
 use crate::{cache_protocol, log, origin_protocol, resp};
 
 /// What reaches the loop.
 #[derive(Debug)]
-pub enum Input {
+pub enum NodeEvent {
     /// A client asks.
-    Asked(Box<Asked>),
+    Request(Box<ClientRequest>),
     /// A client has closed its connection.
-    ClientGone(ClientId),
-    /// News of a connection to a server.
-    Conn(ConnId, News),
-    /// News of a call to discovery.
-    Discovery(CallId, CallNews),
+    ClientDisconnected(ClientId),
+    /// An event of a connection to a server.
+    Connection(ConnId, ConnEvent),
+    /// An event of a call to discovery.
+    Discovery(CallId, CallEvent),
     /// The table of sockets is full, and a client wants a place.
-    Crowded,
+    SlotsLow,
     /// The configuration was read anew.
-    Reload(Box<Config>),
+    Reload(Box<NodeConfig>),
     /// The platform asks the node to end.
     Terminate,
 }
@@ -77,7 +77,7 @@
 const SWEEP: Micros = 1_000_000;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum NodeTimer {
     /// A timer of the module.
     Policy(u32),
     /// An attempt is given up.
@@ -92,14 +92,14 @@
     Ended,
 }
 
-struct Open {
+struct OpenRequest {
     command: Command,
     client: ClientId,
-    presence: Presence,
-    slot: u64,
-    answers: mpsc::Sender<Answer>,
+    liveness: ClientLiveness,
+    reply_index: u64,
+    reply_sender: mpsc::Sender<ClientReply>,
     /// Held while there is something to send.
-    share: Option<Share>,
+    reservation: Option<MemoryReservation>,
     ends: Micros,
     sent: u16,
     /// Attempts without an outcome.
@@ -119,27 +119,27 @@
     clock: Clock,
     policy: Policy,
     events: VecDeque<Event>,
-    timers: BinaryHeap<Reverse<(Micros, Due)>>,
-    open: HashMap<RequestId, Open>,
-    attempts: HashMap<AttemptKey, Attempt>,
+    timers: BinaryHeap<Reverse<(Micros, NodeTimer)>>,
+    open: HashMap<RequestId, OpenRequest>,
+    attempts: HashMap<AttemptId, Attempt>,
     next: RequestId,
     servers: ServerTable,
-    pool: Pool,
-    memory: Memory,
+    pool: UpstreamPool,
+    memory: MemoryBudget,
     discovery: Discovery,
-    known: Option<Listing>,
+    known: Option<ListUpdate>,
     ends_at: Option<Micros>,
 }
 
 impl Node {
     /// A node that has not begun yet.
     pub fn new(
-        config: Config,
+        config: NodeConfig,
         deployment: Arc<Deployment>,
         clock: Clock,
-        input_sender: mpsc::Sender<Input>,
-        places: Arc<Places>,
-        memory: Memory,
+        event_sender: mpsc::Sender<NodeEvent>,
+        connection_slots: Arc<ConnectionSlots>,
+        memory: MemoryBudget,
     ) -> Self {
         Node {
             clock,
@@ -150,13 +150,18 @@
             attempts: HashMap::new(),
             next: 1,
             servers: ServerTable::new(deployment.clone()),
-            pool: Pool::new(places, deployment.clone(), memory.clone(), input_sender.clone()),
+            pool: UpstreamPool::new(
+                connection_slots,
+                deployment.clone(),
+                memory.clone(),
+                event_sender.clone(),
+            ),
             memory,
             discovery: Discovery::new(
                 config.discovery,
                 config.known.index,
                 Duration::from_micros(deployment.settings.drain_grace_time),
-                input_sender,
+                event_sender,
             ),
             known: Some(config.known),
             ends_at: None,
@@ -167,7 +172,7 @@
     /// Runs until the node has drained; `idle` tells whether no client is connected any more.
     pub async fn run(
         mut self,
-        mut inputs: mpsc::Receiver<Input>,
+        mut event_receiver: mpsc::Receiver<NodeEvent>,
         phase: watch::Sender<Phase>,
         idle: impl Fn() -> bool,
     ) {
@@ -175,9 +180,9 @@
             self.list(known, Some(ListKind::Cached));
         }
         if !self.deployment.settings.pull_discovery {
-            self.discovery.follow();
+            self.discovery.watch_pushed_lists();
         }
-        self.timers.push(Reverse((self.clock.now() + SWEEP, Due::Sweep)));
+        self.timers.push(Reverse((self.clock.now() + SWEEP, NodeTimer::Sweep)));
         let mut ready = false;
         loop {
             if !ready && self.servers.any_ready() {
@@ -193,13 +198,13 @@
             while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
                 let Some(Reverse((_, due))) = self.timers.pop() else { break };
                 match due {
-                    Due::Drain => drop(phase.send(Phase::Draining)),
-                    Due::Ended => {
+                    NodeTimer::Drain => drop(phase.send(Phase::Draining)),
+                    NodeTimer::Ended => {
                         let late = self.ends_at.is_some_and(|at| now >= at);
                         if late || (self.open.values().all(|open| open.over) && idle()) {
                             return;
                         }
-                        self.timers.push(Reverse((now + 10_000, Due::Ended)));
+                        self.timers.push(Reverse((now + 10_000, NodeTimer::Ended)));
                     }
                     other => self.due(other, now),
                 }
@@ -207,7 +212,7 @@
             let next = self.timers.peek().map_or(now + SWEEP, |Reverse((at, _))| *at);
             tokio::select! {
                 biased;
-                input = inputs.recv() => match input {
+                input = event_receiver.recv() => match input {
                     Some(input) => self.input(input),
                     None => return,
                 },
@@ -216,30 +221,30 @@
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn input(&mut self, input: NodeEvent) {
         match input {
-            Input::Asked(asked) => self.asked(*asked),
-            Input::ClientGone(client) => {
+            NodeEvent::Request(asked) => self.asked(*asked),
+            NodeEvent::ClientDisconnected(client) => {
                 self.client_gone(client);
                 self.run_events();
             }
-            Input::Conn(conn, news) => self.conn(conn, news),
-            Input::Discovery(call, news) => self.discovery_news(call, news),
-            Input::Crowded => self.pool.drop_one_idle(),
-            Input::Reload(config) => self.reload(&config),
-            Input::Terminate if self.ends_at.is_none() => {
+            NodeEvent::Connection(conn, news) => self.conn(conn, news),
+            NodeEvent::Discovery(call, news) => self.discovery_news(call, news),
+            NodeEvent::SlotsLow => self.pool.close_oldest_idle(),
+            NodeEvent::Reload(config) => self.reload(&config),
+            NodeEvent::Terminate if self.ends_at.is_none() => {
                 let now = self.clock.now();
                 let longest = self.deployment.settings.classes.iter().map(|c| c.deadline).max();
                 self.ends_at = Some(now + longest.unwrap_or(0) + DRAIN_SLACK);
-                self.timers.push(Reverse((now + ACCEPT_ON, Due::Drain)));
-                self.timers.push(Reverse((now + ACCEPT_ON + 20_000, Due::Ended)));
+                self.timers.push(Reverse((now + ACCEPT_ON, NodeTimer::Drain)));
+                self.timers.push(Reverse((now + ACCEPT_ON + 20_000, NodeTimer::Ended)));
             }
-            Input::Terminate => {}
+            NodeEvent::Terminate => {}
         }
     }
 
     /// A new configuration: discovery moves. What the module was built with stays until a restart.
-    fn reload(&mut self, config: &Config) {
+    fn reload(&mut self, config: &NodeConfig) {
         if config.deployment != *self.deployment {
             log("reload: changed settings take effect at the next start");
         }
@@ -247,31 +252,31 @@
             self.discovery.move_to(config.discovery);
             match self.deployment.settings.pull_discovery {
                 true => self.tell(Event::DiscoveryMoved),
-                false => self.discovery.follow(),
+                false => self.discovery.watch_pushed_lists(),
             }
         }
         log(&format!("reload: discovery is at {}", config.discovery));
     }
 
-    fn due(&mut self, due: Due, now: Micros) {
+    fn due(&mut self, due: NodeTimer, now: Micros) {
         match due {
-            Due::Policy(token) => self.tell(Event::Timer(token)),
-            Due::Attempt(id, number) => {
+            NodeTimer::Policy(token) => self.tell(Event::Timer(token)),
+            NodeTimer::Attempt(id, number) => {
                 self.give_up((id, number), Status::TimedOut);
                 self.run_events();
             }
-            Due::Deadline(id) => {
+            NodeTimer::Deadline(id) => {
                 // The module ends a request before this. Should it not, the client still gets its answer.
                 if self.open.get(&id).is_some_and(|open| !open.over) {
                     self.answer(id, Bytes::from_static(b"-ERR failed\r\n"));
                     self.tell(Event::ClientGone(id));
                 }
             }
-            Due::Sweep => {
-                self.pool.sweep(now);
-                self.timers.push(Reverse((now + SWEEP, Due::Sweep)));
+            NodeTimer::Sweep => {
+                self.pool.close_expired_idle(now);
+                self.timers.push(Reverse((now + SWEEP, NodeTimer::Sweep)));
             }
-            Due::Drain | Due::Ended => {}
+            NodeTimer::Drain | NodeTimer::Ended => {}
         }
     }
 
@@ -308,7 +313,7 @@
             Action::Fail(request) => self.answer(request, Bytes::from_static(b"-ERR failed\r\n")),
             Action::Cancel { request, attempt } => self.give_up((request, attempt), Status::Cancelled),
             Action::Timer { delay: after, token } => {
-                self.timers.push(Reverse((self.clock.now() + after.max(1), Due::Policy(token))));
+                self.timers.push(Reverse((self.clock.now() + after.max(1), NodeTimer::Policy(token))));
             }
             Action::Subscribe(on) => self.discovery.subscribe(on),
             Action::FetchList => self.discovery.fetch(),
@@ -326,28 +331,40 @@
 
     // Requests.
 
-    fn asked(&mut self, asked: Asked) {
-        let Asked { command, at, client, presence, slot, answers, share } = asked;
+    fn asked(&mut self, asked: ClientRequest) {
+        let ClientRequest { command, received_at, client, liveness, reply_index, reply_sender, reservation } =
+            asked;
         let id = self.next;
         self.next += 1;
         // What the request waited within the node is part of its time.
-        let ends = at + command.time_left;
+        let ends = received_at + command.time_left;
         let request = Request {
             id,
             class: command.class,
             tenant: command.tenant,
             key: command.hashed_key(),
             write: command.write,
-            client_retry: command.repeat,
+            client_retry: command.client_retry,
             time_left: ends.saturating_sub(self.clock.now()),
-            expected_work: command.cost,
-            value_bytes: command.size,
+            expected_work: command.expected_work,
+            value_bytes: command.value_bytes,
         };
-        let share = Some(share);
+        let reservation = Some(reservation);
         let (sent, out, over) = (0, 0, false);
-        let open = Open { command, client, presence, slot, answers, share, ends, sent, out, over };
+        let open = OpenRequest {
+            command,
+            client,
+            liveness,
+            reply_index,
+            reply_sender,
+            reservation,
+            ends,
+            sent,
+            out,
+            over,
+        };
         self.open.insert(id, open);
-        self.timers.push(Reverse((ends, Due::Deadline(id))));
+        self.timers.push(Reverse((ends, NodeTimer::Deadline(id))));
         self.tell(Event::Request(request));
     }
 
@@ -355,18 +372,19 @@
     fn answer(&mut self, id: RequestId, answer: Bytes) {
         let Some(open) = self.open.get(&id).filter(|open| !open.over) else { return };
         // Forced by memory: an answer that there is no room for is not passed on, and tells as much.
-        let (bytes, share) = match self.memory.try_take(answer.len()) {
-            Some(share) => (answer, Some(share)),
+        let (bytes, reservation) = match self.memory.try_reserve(answer.len()) {
+            Some(reservation) => (answer, Some(reservation)),
             None => (Bytes::from_static(b"-ERR failed\r\n"), None),
         };
         // There is room for every answer that a connection is owed; one that has ended takes none.
-        let _ = open.answers.try_send(Answer { slot: open.slot, bytes, share });
+        let _ = open.reply_sender.try_send(ClientReply { reply_index: open.reply_index, bytes, reservation });
         self.close_request(id);
     }
 
     /// Nothing is owed to a client any more.
     fn client_gone(&mut self, client: ClientId) {
-        let mine = |(id, open): (&RequestId, &Open)| (open.client == client && !open.over).then_some(*id);
+        let mine =
+            |(id, open): (&RequestId, &OpenRequest)| (open.client == client && !open.over).then_some(*id);
         let gone: Vec<_> = self.open.iter().filter_map(mine).collect();
         for id in gone {
             self.close_request(id);
@@ -378,7 +396,7 @@
     fn close_request(&mut self, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.over = true;
-        (open.command.value, open.share) = (None, None);
+        (open.command.value, open.reservation) = (None, None);
         if open.out == 0 {
             self.open.remove(&id);
         }
@@ -395,19 +413,19 @@
             !open.over && u32::from(key.1) < self.deployment.settings.max_attempts && now < open.ends;
         let limit = if give_up_after == 0 { open.ends } else { open.ends.min(now + give_up_after) };
         let target = self.servers.get(server).filter(|_| allowed);
-        let Some((address, speech)) = target.map(|s| (s.address, s.speech)) else {
+        let Some((address, protocol)) = target.map(|s| (s.address, s.protocol)) else {
             self.attempts.insert(key, Attempt { server, sent: now, conn: 0 });
             return self.end(key, Status::NotSent);
         };
         let conn = match self.pool.reuse(server, key, now) {
             Some(conn) => Some((conn, true)),
             // A connection costs its server work: none is opened for a client that has gone.
-            None if open.presence.gone() => {
+            None if open.liveness.disconnected() => {
                 let client = open.client;
                 self.attempts.insert(key, Attempt { server, sent: now, conn: 0 });
                 return self.unsent(key, client);
             }
-            None => self.pool.open(server, address, speech, key).map(|conn| (conn, false)),
+            None => self.pool.connect(server, address, protocol, key).map(|conn| (conn, false)),
         };
         let Some((conn, up)) = conn else {
             // Forced by the limit on sockets: there is no connection to send this on.
@@ -415,14 +433,14 @@
             return self.end(key, Status::NotSent);
         };
         self.attempts.insert(key, Attempt { server, sent: now, conn });
-        self.timers.push(Reverse((limit, Due::Attempt(id, key.1))));
+        self.timers.push(Reverse((limit, NodeTimer::Attempt(id, key.1))));
         if up {
             self.write(key, conn);
         }
     }
 
     /// Hands an attempt to its connection, which is up.
-    fn write(&mut self, key: AttemptKey, conn: ConnId) {
+    fn write(&mut self, key: AttemptId, conn: ConnId) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(&key) else { return };
         // Against a send after a drain or an end: between the module's word and the first byte the attempt
@@ -448,67 +466,67 @@
             return;
         }
         let left_ms = (open.ends - now).div_ceil(1_000);
-        let bytes = match server.speech {
-            Speech::Resp => cache_protocol::encode(&open.command, left_ms),
-            Speech::Http => origin_protocol::encode(&open.command, left_ms, &server.address.to_string()),
+        let bytes = match server.protocol {
+            Protocol::Resp => cache_protocol::encode(&open.command, left_ms),
+            Protocol::Http => origin_protocol::encode(&open.command, left_ms, &server.address.to_string()),
         };
-        if !self.pool.start(conn, bytes, open.presence.clone()) {
+        if !self.pool.send_request(conn, bytes, open.liveness.clone()) {
             self.lost(key, conn, false);
         }
     }
 
-    fn conn(&mut self, conn: ConnId, news: News) {
+    fn conn(&mut self, conn: ConnId, news: ConnEvent) {
         // What comes from a connection that was given up is late, and of no more interest.
         let key = self.pool.attempt(conn);
         match (news, key) {
-            (News::Up, Some(key)) => self.write(key, conn),
-            (News::Unsent, Some(key)) => {
+            (ConnEvent::Connected, Some(key)) => self.write(key, conn),
+            (ConnEvent::NotSent, Some(key)) => {
                 let server = self.attempts.get(&key).and_then(|attempt| self.servers.get(attempt.server));
                 self.pool.release(conn, server.map(|s| s.address), self.clock.now());
                 if let Some(client) = self.open.get(&key.0).map(|open| open.client) {
                     self.unsent(key, client);
                 }
             }
-            (News::Answer(reply), Some(key)) => {
+            (ConnEvent::Reply(reply), Some(key)) => {
                 let now = self.clock.now();
                 self.heard_from_server_of(key);
                 let attempt = self.attempts.get(&key);
                 let address = attempt.and_then(|attempt| Some(self.servers.get(attempt.server)?.address));
-                match reply.keep {
+                match reply.keep_alive {
                     true => self.pool.release(conn, address, now),
                     false => self.pool.close(conn),
                 }
                 self.end_with(key, reply);
             }
-            (News::Spoilt, Some(key)) => {
+            (ConnEvent::Malformed, Some(key)) => {
                 self.heard_from_server_of(key);
                 self.pool.close(conn);
                 self.end(key, Status::Malformed);
             }
-            (News::Lost { written }, Some(key)) => self.lost(key, conn, written),
-            (News::Lost { .. } | News::Spoilt, None) => self.pool.close(conn),
+            (ConnEvent::Failed { written }, Some(key)) => self.lost(key, conn, written),
+            (ConnEvent::Failed { .. } | ConnEvent::Malformed, None) => self.pool.close(conn),
             (_, None) => {}
         }
         self.run_events();
     }
 
     /// The server of an attempt has answered something.
-    fn heard_from_server_of(&mut self, key: AttemptKey) {
+    fn heard_from_server_of(&mut self, key: AttemptId) {
         if let Some(attempt) = self.attempts.get(&key) {
-            self.servers.heard_from(attempt.server, self.clock.now());
+            self.servers.record_answer(attempt.server, self.clock.now());
         }
     }
 
     /// An attempt was not sent since its client has gone.
-    fn unsent(&mut self, key: AttemptKey, client: ClientId) {
+    fn unsent(&mut self, key: AttemptId, client: ClientId) {
         self.close_request(key.0);
         self.end(key, Status::NotSent);
         self.client_gone(client);
     }
 
     /// A connection is lost that an attempt was on or waited for.
-    fn lost(&mut self, key: AttemptKey, conn: ConnId, written: bool) {
-        let stale = !written && self.pool.carried(conn) > 1;
+    fn lost(&mut self, key: AttemptId, conn: ConnId, written: bool) {
+        let stale = !written && self.pool.request_count(conn) > 1;
         if written {
             self.pool.close(conn);
             return self.end(key, Status::Reset);
@@ -522,11 +540,11 @@
     }
 
     /// Opens a fresh connection in place of one on which nothing was sent; `false` where there is none to be had.
-    fn connect_again(&mut self, key: AttemptKey, conn: ConnId) -> bool {
+    fn connect_again(&mut self, key: AttemptId, conn: ConnId) -> bool {
         self.pool.close(conn);
         let Some(attempt) = self.attempts.get_mut(&key) else { return false };
         let Some(server) = self.servers.get(attempt.server) else { return false };
-        let Some(conn) = self.pool.open(attempt.server, server.address, server.speech, key) else {
+        let Some(conn) = self.pool.connect(attempt.server, server.address, server.protocol, key) else {
             return false;
         };
         attempt.conn = conn;
@@ -534,32 +552,32 @@
     }
 
     /// Stops waiting for an attempt, by closing its connection.
-    fn give_up(&mut self, key: AttemptKey, status: Status) {
+    fn give_up(&mut self, key: AttemptId, status: Status) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         self.pool.close(attempt.conn);
         // Against a machine that vanished: its kept connections stay open and silent, and each would cost
         // a request its whole time. A fresh one tells within the time-out of a connect.
-        if self.servers.get(attempt.server).is_some_and(|server| server.heard < attempt.sent) {
+        if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent) {
             self.pool.close_idle(attempt.server);
         }
         self.end(key, status);
     }
 
-    fn end(&mut self, key: AttemptKey, status: Status) {
+    fn end(&mut self, key: AttemptId, status: Status) {
         self.end_with(
             key,
-            Reply {
+            ServerReply {
                 status,
-                note: CacheLookup::NotReported,
+                lookup: CacheLookup::NotReported,
                 load: LoadReport::default(),
                 value: None,
-                keep: false,
+                keep_alive: false,
             },
         );
     }
 
     /// An attempt has its outcome: the first that serves answers the client, and the module is told.
-    fn end_with(&mut self, key: AttemptKey, reply: Reply) {
+    fn end_with(&mut self, key: AttemptId, reply: ServerReply) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
         let Some(open) = self.open.get_mut(&key.0) else { return };
         open.out -= 1;
@@ -578,7 +596,7 @@
             server: attempt.server,
             status: reply.status,
             request_finished: over,
-            lookup: reply.note,
+            lookup: reply.lookup,
             elapsed: self.clock.now() - attempt.sent,
             load: reply.load,
         }));
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -4,7 +4,7 @@
 
 /// An answer that can't be understood.
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub struct Malformed;
+pub struct MalformedResponse;
 
 /// The longest head, and the longest line that states a chunk's size.
 const MAX_HEAD: usize = 16 * 1024;
@@ -12,7 +12,7 @@
 
 /// The head of an answer.
 #[derive(Debug, Default, PartialEq)]
-pub struct Head {
+pub struct ResponseHead {
     /// Its bytes.
     pub length: usize,
     /// Its status code.
@@ -28,61 +28,62 @@
     /// The load report (`X-Backend-Load`).
     pub load: Option<String>,
     /// How a read went (`X-Lookup`).
-    pub note: Option<String>,
+    pub lookup: Option<String>,
 }
 
 /// Reads a head at the front of a buffer; `None` while it is not all there.
-pub fn head(buffer: &[u8]) -> Result<Option<Head>, Malformed> {
+pub fn head(buffer: &[u8]) -> Result<Option<ResponseHead>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
-        _ => return Err(Malformed),
+        _ => return Err(MalformedResponse),
     };
     let status = response.code.unwrap_or(0);
-    let mut head = Head { length, status, close: response.version == Some(0), ..Head::default() };
+    let mut head =
+        ResponseHead { length, status, close: response.version == Some(0), ..ResponseHead::default() };
     for header in response.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
                 // Against lengths that two readers would read differently: signs, and two that differ.
                 let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-                let length = value.parse().ok().filter(|_| digits).ok_or(Malformed)?;
+                let length = value.parse().ok().filter(|_| digits).ok_or(MalformedResponse)?;
                 if head.content_length.is_some_and(|before| before != length) {
-                    return Err(Malformed);
+                    return Err(MalformedResponse);
                 }
                 head.content_length = Some(length);
             }
             "transfer-encoding" if value.eq_ignore_ascii_case("chunked") && !head.chunked => {
                 head.chunked = true;
             }
-            "transfer-encoding" => return Err(Malformed),
+            "transfer-encoding" => return Err(MalformedResponse),
             "connection" => head.close |= value.eq_ignore_ascii_case("close"),
             "x-unprocessed" => head.unprocessed = value == "1",
             "x-backend-load" => head.load = Some(value.into()),
-            "x-lookup" => head.note = Some(value.into()),
+            "x-lookup" => head.lookup = Some(value.into()),
             _ => {}
         }
     }
     if head.chunked && head.content_length.is_some() {
-        return Err(Malformed);
+        return Err(MalformedResponse);
     }
     Ok(Some(head))
 }
 
 /// Takes chunks apart as they come.
 #[derive(Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     left: usize,
     /// The line end after a chunk's content is still to come.
     line_end: bool,
     ended: bool,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Moves what is there of the body's content from one buffer to the other; `true` at the body's end.
-    pub fn take(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, Malformed> {
+    pub fn decode(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, MalformedResponse> {
         while !self.ended {
             if self.left > 0 {
                 let part = self.left.min(from.len());
@@ -99,7 +100,7 @@
                     return Ok(false);
                 }
                 if !from.starts_with(b"\r\n") {
-                    return Err(Malformed);
+                    return Err(MalformedResponse);
                 }
                 from.advance(2);
                 self.line_end = false;
@@ -107,12 +108,12 @@
             match httparse::parse_chunk_size(from) {
                 Ok(httparse::Status::Complete((length, size))) => {
                     from.advance(length);
-                    self.left = usize::try_from(size).map_err(|_| Malformed)?;
+                    self.left = usize::try_from(size).map_err(|_| MalformedResponse)?;
                     // Trailers are not read: what follows the last chunk ends the use of the connection.
                     self.ended = size == 0;
                 }
                 Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => return Ok(false),
-                _ => return Err(Malformed),
+                _ => return Err(MalformedResponse),
             }
         }
         Ok(true)
@@ -127,15 +128,16 @@
     fn chunks_are_joined_however_they_are_cut() {
         let whole = b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\n";
         for step in 1..whole.len() {
-            let (mut chunks, mut from, mut to) = (Chunks::default(), BytesMut::new(), BytesMut::new());
+            let (mut chunks, mut from, mut to) =
+                (ChunkedDecoder::default(), BytesMut::new(), BytesMut::new());
             let mut ended = false;
             for part in whole.chunks(step) {
                 from.extend_from_slice(part);
-                ended = chunks.take(&mut from, &mut to).unwrap();
+                ended = chunks.decode(&mut from, &mut to).unwrap();
             }
             assert!(ended && &to[..] == b"hello!", "in steps of {step}: {to:?}");
         }
         let mut bad = BytesMut::from("zz\r\n");
-        assert_eq!(Chunks::default().take(&mut bad, &mut BytesMut::new()), Err(Malformed));
+        assert_eq!(ChunkedDecoder::default().decode(&mut bad, &mut BytesMut::new()), Err(MalformedResponse));
     }
 }
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -26,14 +26,14 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, watch};
 
-use client_sessions::{Front, Phase};
-use config::Config;
-use connection_slots::Places;
-use event_loop::{Clock, Input, Node};
-use memory_budget::Memory;
+use client_sessions::{Phase, SessionContext};
+use config::NodeConfig;
+use connection_slots::ConnectionSlots;
+use event_loop::{Clock, Node, NodeEvent};
+use memory_budget::MemoryBudget;
 
 /// What waits between the connections and the node's loop.
-const INPUTS: usize = 1024;
+const EVENT_QUEUE_LENGTH: usize = 1024;
 /// Requests taken and not yet answered.
 const MAX_OPEN: usize = 1024;
 
@@ -42,11 +42,11 @@
     let _ = writeln!(std::io::stderr(), "pondproxy-node: {line}");
 }
 
-async fn run(config: Config) -> std::io::Result<()> {
-    let (input_sender, inputs) = mpsc::channel(INPUTS);
+async fn run(config: NodeConfig) -> std::io::Result<()> {
+    let (event_sender, event_receiver) = mpsc::channel(EVENT_QUEUE_LENGTH);
     let (phase_set, phase) = watch::channel(Phase::Starting);
     let clock = Clock::start();
-    let places = Places::new(config.sockets);
+    let connection_slots = ConnectionSlots::new(config.sockets);
     let mut terms = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
     let hangup = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
@@ -59,35 +59,37 @@
         settings.notified_after / 1_000,
         settings.drain_grace_time / 1_000,
     ));
-    let open = Arc::new(Semaphore::new(deployment.max_open_requests.min(MAX_OPEN)));
-    let memory = Memory::new(config.memory_mb);
-    let front = Front {
+    let request_permits = Arc::new(Semaphore::new(deployment.max_open_requests.min(MAX_OPEN)));
+    let memory = MemoryBudget::new(config.memory_mb);
+    let context = SessionContext {
         deployment: deployment.clone(),
         clock,
-        input_sender: input_sender.clone(),
+        event_sender: event_sender.clone(),
         phase,
-        places: places.clone(),
-        open,
+        connection_slots: connection_slots.clone(),
+        request_permits,
         memory: memory.clone(),
-        ids: Arc::default(),
+        open_ids: Arc::default(),
     };
-    places.listening(true);
-    tokio::spawn(client_sessions::listen(listener, Arc::new(front)));
-    let signals = input_sender.clone();
+    connection_slots.set_accepting(true);
+    tokio::spawn(client_sessions::listen(listener, Arc::new(context)));
+    let signals = event_sender.clone();
     tokio::spawn(async move {
         let [term, int] = &mut terms;
         tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-        let _ = signals.send(Input::Terminate).await;
+        let _ = signals.send(NodeEvent::Terminate).await;
     });
-    tokio::spawn(reload::follow(hangup, input_sender.clone()));
-    let clients = places.clone();
-    let idle = move || clients.deserted();
-    Node::new(config, deployment, clock, input_sender, places, memory).run(inputs, phase_set, idle).await;
+    tokio::spawn(reload::reload_on_sighup(hangup, event_sender.clone()));
+    let clients = connection_slots.clone();
+    let idle = move || clients.no_clients();
+    Node::new(config, deployment, clock, event_sender, connection_slots, memory)
+        .run(event_receiver, phase_set, idle)
+        .await;
     Ok(())
 }
 
 fn main() -> ExitCode {
-    let config = match Config::from_env() {
+    let config = match NodeConfig::from_env() {
         Ok(config) => config,
         Err(e) => {
             log(&e.to_string());
--- a/src/bin/pondproxy-node/memory_budget.rs
+++ b/src/bin/pondproxy-node/memory_budget.rs
@@ -16,7 +16,7 @@
 
 /// The budget.
 #[derive(Clone)]
-pub struct Memory {
+pub struct MemoryBudget {
     free: Arc<Semaphore>,
     /// What of it may still go to what was sent ahead.
     ahead: Arc<Semaphore>,
@@ -26,18 +26,18 @@
 /// A part of the budget, given back when dropped.
 #[derive(Debug)]
 #[expect(dead_code, reason = "held for its drop")]
-pub struct Share(OwnedSemaphorePermit, Option<OwnedSemaphorePermit>);
+pub struct MemoryReservation(OwnedSemaphorePermit, Option<OwnedSemaphorePermit>);
 
-impl Memory {
+impl MemoryBudget {
     /// The budget of a node that may have so many megabytes in all.
-    pub fn new(memory_mb: usize) -> Memory {
+    pub fn new(memory_mb: usize) -> MemoryBudget {
         let units = (memory_mb.saturating_sub(BASE_MB).max(4) * 1024 * 1024 / SLACK / UNIT).min(1 << 28);
         let (free, ahead) = (Arc::new(Semaphore::new(units)), Arc::new(Semaphore::new(units / AHEAD)));
-        Memory { free, ahead, units: units as u32 }
+        MemoryBudget { free, ahead, units: units as u32 }
     }
 
     /// The whole of it, in bytes.
-    pub fn all(&self) -> usize {
+    pub fn total_bytes(&self) -> usize {
         self.units as usize * UNIT
     }
 
@@ -47,21 +47,21 @@
     }
 
     /// A part for some bytes, if it is free.
-    pub fn try_take(&self, bytes: usize) -> Option<Share> {
+    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let free = self.free.clone().try_acquire_many_owned(self.units(bytes)).ok()?;
-        Some(Share(free, None))
+        Some(MemoryReservation(free, None))
     }
 
     /// A part for some bytes that were sent ahead, if it is free.
-    pub fn try_take_ahead(&self, bytes: usize) -> Option<Share> {
+    pub fn try_reserve_pipelined(&self, bytes: usize) -> Option<MemoryReservation> {
         let ahead = self.ahead.clone().try_acquire_many_owned(self.units(bytes)).ok()?;
-        Some(Share(self.try_take(bytes)?.0, Some(ahead)))
+        Some(MemoryReservation(self.try_reserve(bytes)?.0, Some(ahead)))
     }
 
     /// A part for some bytes, once it is free.
-    pub async fn wait(&self, bytes: usize) -> Share {
+    pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         match self.free.clone().acquire_many_owned(self.units(bytes)).await {
-            Ok(permit) => Share(permit, None),
+            Ok(permit) => MemoryReservation(permit, None),
             Err(_) => std::future::pending().await, // It is never closed.
         }
     }
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -5,8 +5,8 @@
 
 use crate::cache_protocol;
 use crate::client_sessions::Command;
-use crate::http::{self, Chunks};
-use crate::upstream_pool::{Broken, Reply};
+use crate::http::{self, ChunkedDecoder};
+use crate::upstream_pool::{MalformedReply, ServerReply};
 
 /// Interim answers (1xx) ahead of the final one, at most.
 const MAX_INTERIM: usize = 8;
@@ -19,7 +19,9 @@
     out.put_slice(&command.key);
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
     out.put_slice(&command.id);
-    out.put_slice(format!("\r\nX-Facts: {}\r\n", cache_protocol::facts(command, left_ms)).as_bytes());
+    out.put_slice(
+        format!("\r\nX-Facts: {}\r\n", cache_protocol::forwarded_facts(command, left_ms)).as_bytes(),
+    );
     let body: &[u8] = command.value.as_deref().unwrap_or(b"");
     if command.write {
         out.put_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
@@ -30,31 +32,35 @@
 }
 
 /// Takes an answer off the front of what a connection brought; `None` while it is not all there.
-pub fn decode(buffer: &mut BytesMut, load_names: &[String], longest: usize) -> Result<Option<Reply>, Broken> {
+pub fn decode(
+    buffer: &mut BytesMut,
+    load_names: &[String],
+    longest: usize,
+) -> Result<Option<ServerReply>, MalformedReply> {
     // Interim answers come ahead of the final one. They stay in the buffer until that has come, so that the
     // few that are allowed are counted anew each time: against a server that sends them without end.
     let mut ahead = 0;
     let mut heads = 0..=MAX_INTERIM;
     let head = loop {
-        heads.next().ok_or(Broken)?;
-        let Some(head) = http::head(&buffer[ahead..]).map_err(|_| Broken)? else { return Ok(None) };
+        heads.next().ok_or(MalformedReply)?;
+        let Some(head) = http::head(&buffer[ahead..]).map_err(|_| MalformedReply)? else { return Ok(None) };
         match head.status {
             100 | 102..200 => ahead += head.length,
             200.. => break head,
             // Nobody asked for another protocol, and there are no codes under 100.
-            _ => return Err(Broken),
+            _ => return Err(MalformedReply),
         }
     };
     let start = ahead + head.length;
-    let mut keep = !head.close;
+    let mut keep_alive = !head.close;
     let value = if head.chunked {
         let (mut rest, mut body) = (BytesMut::from(&buffer[start..]), BytesMut::new());
-        if !Chunks::default().take(&mut rest, &mut body).map_err(|_| Broken)? {
-            return if rest.len() + body.len() > 2 * longest { Err(Broken) } else { Ok(None) };
+        if !ChunkedDecoder::default().decode(&mut rest, &mut body).map_err(|_| MalformedReply)? {
+            return if rest.len() + body.len() > 2 * longest { Err(MalformedReply) } else { Ok(None) };
         }
-        keep = false;
+        keep_alive = false;
         if body.len() > longest {
-            return Err(Broken);
+            return Err(MalformedReply);
         }
         buffer.clear();
         body.freeze()
@@ -64,10 +70,10 @@
             // A value that ends with its connection can't be told from one that was cut off; of an answer
             // without one, the head tells all.
             None if head.status != 200 => {
-                keep = false;
+                keep_alive = false;
                 0
             }
-            _ => return Err(Broken),
+            _ => return Err(MalformedReply),
         };
         if buffer.len() < start + length {
             return Ok(None);
@@ -81,7 +87,7 @@
         _ => Status::Error,
     };
     let value = (status == Status::Success).then_some(value);
-    let load = cache_protocol::load(head.load.as_deref().unwrap_or(""), load_names);
-    let note = cache_protocol::note(head.note.as_deref().unwrap_or(""));
-    Ok(Some(Reply { status, note, load, value, keep }))
+    let load = cache_protocol::parse_load_report(head.load.as_deref().unwrap_or(""), load_names);
+    let lookup = cache_protocol::parse_lookup(head.lookup.as_deref().unwrap_or(""));
+    Ok(Some(ServerReply { status, lookup, load, value, keep_alive }))
 }
--- a/src/bin/pondproxy-node/reload.rs
+++ b/src/bin/pondproxy-node/reload.rs
@@ -6,8 +6,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use crate::config::Config;
-use crate::event_loop::Input;
+use crate::config::NodeConfig;
+use crate::event_loop::NodeEvent;
 use crate::log;
 
 /// A configuration that can't be used is read again after this long: it may be about to be replaced, or there may have
@@ -17,19 +17,19 @@
 const MAX_READS: u32 = 20;
 
 /// Passes each new configuration on, for as long as there are signals. An old one stays in force until then.
-pub async fn follow(mut signals: Signal, input_sender: mpsc::Sender<Input>) {
+pub async fn reload_on_sighup(mut signals: Signal, event_sender: mpsc::Sender<NodeEvent>) {
     while signals.recv().await.is_some() {
         if let Some(config) = read(&mut signals).await {
-            let _ = input_sender.send(Input::Reload(Box::new(config))).await;
+            let _ = event_sender.send(NodeEvent::Reload(Box::new(config))).await;
         }
     }
 }
 
 /// Reads the configuration until it can be used. A further signal begins the count anew.
-async fn read(signals: &mut Signal) -> Option<Config> {
+async fn read(signals: &mut Signal) -> Option<NodeConfig> {
     let mut reads = 0;
     while reads < MAX_READS {
-        match Config::again() {
+        match NodeConfig::reload() {
             Ok(config) => return Some(config),
             Err(e) if reads == 0 => log(&format!("reload: {e}; the old configuration stays in force")),
             Err(_) => {}
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -4,7 +4,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// The longest value that clients send.
-pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Words in a command, and elements in an answer, at most.
 const MAX_WORDS: usize = 16;
 /// The longest line that states a length.
@@ -16,10 +16,10 @@
 
 /// Input that can't be understood: from here on its framing is lost.
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub struct Malformed(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
-const UNENDED: Malformed = Malformed("bulk string not ended");
-const NULL: Malformed = Malformed("null in a command");
+const UNENDED: ProtocolError = ProtocolError("bulk string not ended");
+const NULL: ProtocolError = ProtocolError("null in a command");
 
 /// An answer of a cache server.
 #[derive(Debug, PartialEq, Clone)]
@@ -29,16 +29,16 @@
     /// An array; null counts as empty.
     Array(Vec<Value>),
     /// A plain line.
-    Line(Bytes),
+    SimpleString(Bytes),
     /// An error line.
     Error(Bytes),
     /// A number.
-    Number(i64),
+    Integer(i64),
 }
 
 /// Takes one whole command, an array of bulk strings, off the front; `None` while it is not all there.
-pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, Malformed> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest: MAX_VALUE };
+pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ProtocolError> {
+    let mut scan = Scan { bytes: buffer, at: 0, longest: MAX_VALUE_BYTES };
     let Some(words) = scan.command()? else { return Ok(None) };
     let end = scan.at;
     // Each word is a copy of its own: together they would hold the whole buffer for as long as one lives.
@@ -47,7 +47,7 @@
 }
 
 /// Takes one whole answer off the front, no string in it longer than a limit; `None` while it is not all there.
-pub fn take_value(buffer: &mut BytesMut, longest: usize) -> Result<Option<Value>, Malformed> {
+pub fn take_value(buffer: &mut BytesMut, longest: usize) -> Result<Option<Value>, ProtocolError> {
     let mut scan = Scan { bytes: buffer, at: 0, longest };
     let Some(value) = scan.value(0)? else { return Ok(None) };
     let end = scan.at;
@@ -56,7 +56,7 @@
 }
 
 /// The length that an answer states for its value, once it has.
-pub fn stated(buffer: &[u8]) -> Option<usize> {
+pub fn declared_length(buffer: &[u8]) -> Option<usize> {
     let mut scan = Scan { bytes: buffer, at: 0, longest: usize::MAX };
     scan.length(b'*', MAX_WORDS).ok()??;
     scan.length(b'$', usize::MAX).ok()??
@@ -69,23 +69,23 @@
 }
 
 impl<'a> Scan<'a> {
-    fn line(&mut self, longest: usize) -> Result<Option<&'a [u8]>, Malformed> {
+    fn line(&mut self, longest: usize) -> Result<Option<&'a [u8]>, ProtocolError> {
         let rest = &self.bytes[self.at..];
         match rest.windows(2).take(longest + 1).position(|pair| pair == b"\r\n") {
             Some(end) => {
                 self.at += end + 2;
                 Ok(Some(&rest[..end]))
             }
-            None if rest.len() > longest + 1 => Err(Malformed("line too long")),
+            None if rest.len() > longest + 1 => Err(ProtocolError("line too long")),
             None => Ok(None),
         }
     }
 
     /// A line of a mark and a length; `None` inside stands for a null.
-    fn length(&mut self, mark: u8, most: usize) -> Result<Option<Option<usize>>, Malformed> {
+    fn length(&mut self, mark: u8, most: usize) -> Result<Option<Option<usize>>, ProtocolError> {
         match self.bytes.get(self.at) {
             None => return Ok(None),
-            Some(found) if *found != mark => return Err(Malformed("unexpected type")),
+            Some(found) if *found != mark => return Err(ProtocolError("unexpected type")),
             Some(_) => {}
         }
         let Some(line) = self.line(MAX_LENGTH_LINE)? else { return Ok(None) };
@@ -95,12 +95,12 @@
         let digits = line.len() > 1 && line[1..].iter().all(u8::is_ascii_digit);
         let number =
             std::str::from_utf8(&line[1..]).ok().filter(|_| digits).and_then(|text| text.parse().ok());
-        let number: usize = number.ok_or(Malformed("invalid length"))?;
-        if number > most { Err(Malformed("value or command too long")) } else { Ok(Some(Some(number))) }
+        let number: usize = number.ok_or(ProtocolError("invalid length"))?;
+        if number > most { Err(ProtocolError("value or command too long")) } else { Ok(Some(Some(number))) }
     }
 
     /// Bounds of the content of a bulk string.
-    fn bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, Malformed> {
+    fn bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
         let length = match self.length(b'$', self.longest)? {
             None => return Ok(None),
             Some(None) => return Ok(Some(None)),
@@ -116,15 +116,15 @@
     }
 
     /// How many words a command has.
-    fn count(&mut self) -> Result<Option<usize>, Malformed> {
+    fn count(&mut self) -> Result<Option<usize>, ProtocolError> {
         match self.length(b'*', MAX_WORDS)? {
             // Against floods of commands that say nothing and are cheap to send.
-            Some(None | Some(0)) => Err(Malformed("empty command")),
+            Some(None | Some(0)) => Err(ProtocolError("empty command")),
             count => Ok(count.flatten()),
         }
     }
 
-    fn command(&mut self) -> Result<Option<Vec<(usize, usize)>>, Malformed> {
+    fn command(&mut self) -> Result<Option<Vec<(usize, usize)>>, ProtocolError> {
         let Some(count) = self.count()? else { return Ok(None) };
         let mut words = Vec::with_capacity(count);
         for _ in 0..count {
@@ -136,7 +136,7 @@
         Ok(Some(words))
     }
 
-    fn value(&mut self, depth: u8) -> Result<Option<Value>, Malformed> {
+    fn value(&mut self, depth: u8) -> Result<Option<Value>, ProtocolError> {
         let Some(mark) = self.bytes.get(self.at) else { return Ok(None) };
         match mark {
             b'$' => Ok(self.bulk()?.map(|bounds| {
@@ -157,22 +157,22 @@
                 let Some(line) = self.line(MAX_LINE)? else { return Ok(None) };
                 let text = &line[1..];
                 Ok(Some(match mark {
-                    b'+' => Value::Line(Bytes::copy_from_slice(text)),
+                    b'+' => Value::SimpleString(Bytes::copy_from_slice(text)),
                     b'-' => Value::Error(Bytes::copy_from_slice(text)),
                     _ => {
                         let number = std::str::from_utf8(text).ok().and_then(|t| t.parse().ok());
-                        Value::Number(number.ok_or(Malformed("invalid number"))?)
+                        Value::Integer(number.ok_or(ProtocolError("invalid number"))?)
                     }
                 }))
             }
-            _ => Err(Malformed("unexpected type")),
+            _ => Err(ProtocolError("unexpected type")),
         }
     }
 }
 
 /// Passes over commands without keeping them, in whatever pieces they come.
 #[derive(Default)]
-pub struct Skip {
+pub struct CommandSkipper {
     /// What there is of a line that states a length.
     line: Vec<u8>,
     /// Words that the present command still has.
@@ -180,17 +180,17 @@
     /// Bytes that the present word still has, the end of its line included.
     left: usize,
     /// Commands that were whole.
-    pub whole: u64,
+    pub skipped_commands: u64,
 }
 
-impl Skip {
+impl CommandSkipper {
     /// Whether a command has begun that is not whole.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_command(&self) -> bool {
         self.words > 0 || !self.line.is_empty()
     }
 
     /// Passes over a piece; tells where in it the last command ended.
-    pub fn pass(&mut self, piece: &[u8]) -> Result<usize, Malformed> {
+    pub fn skip(&mut self, piece: &[u8]) -> Result<usize, ProtocolError> {
         let (mut at, mut end) = (0, 0);
         while at < piece.len() {
             if self.left > 2 {
@@ -210,20 +210,20 @@
                 self.words -= 1;
             }
             if self.words == 0 {
-                (self.whole, end) = (self.whole + 1, at);
+                (self.skipped_commands, end) = (self.skipped_commands + 1, at);
             }
         }
         Ok(end)
     }
 
     /// Reads a line that states a length, which may have begun before; tells how many bytes are done with.
-    fn length(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
+    fn length(&mut self, bytes: &[u8]) -> Result<usize, ProtocolError> {
         let before = self.line.len();
         self.line.extend_from_slice(&bytes[..bytes.len().min(MAX_LENGTH_LINE + 2 - before)]);
-        let mut scan = Scan { bytes: &self.line, at: 0, longest: MAX_VALUE };
+        let mut scan = Scan { bytes: &self.line, at: 0, longest: MAX_VALUE_BYTES };
         let known = match self.words {
             0 => scan.count()?.map(|count| (count, 0)),
-            words => match scan.length(b'$', MAX_VALUE)? {
+            words => match scan.length(b'$', MAX_VALUE_BYTES)? {
                 Some(length) => Some((words, length.ok_or(NULL)? + 2)),
                 None => None,
             },
@@ -244,7 +244,7 @@
 }
 
 /// A command of some words.
-pub fn command(words: &[&[u8]]) -> Bytes {
+pub fn encode_command(words: &[&[u8]]) -> Bytes {
     let size = words.iter().map(|word| word.len() + 16).sum::<usize>() + 16;
     let mut out = BytesMut::with_capacity(size);
     out.put_slice(format!("*{}\r\n", words.len()).as_bytes());
--- a/src/bin/pondproxy-node/resp/tests.rs
+++ b/src/bin/pondproxy-node/resp/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_command_is_taken_only_when_its_last_byte_is_there() {
-    let whole = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
+    let whole = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..whole.len() {
         let mut part = BytesMut::from(&whole[..cut]);
         assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
@@ -40,17 +40,19 @@
     let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
     let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
     let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(array)));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Number(7))));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(None));
-    assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE).is_err());
+    assert_eq!(take_value(&mut answer, MAX_VALUE_BYTES), Ok(Some(array)));
+    assert_eq!(take_value(&mut answer, MAX_VALUE_BYTES), Ok(Some(Value::Error("BUSY".into()))));
+    assert_eq!(take_value(&mut answer, MAX_VALUE_BYTES), Ok(Some(Value::Integer(7))));
+    assert_eq!(take_value(&mut answer, MAX_VALUE_BYTES), Ok(None));
+    assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE_BYTES).is_err());
 }
 
 #[test]
 fn what_is_passed_over_is_counted_and_malformed_as_if_it_had_been_read_however_it_is_cut() {
     let long = "v".repeat(3000);
-    let good = [command(&[b"PING"]), command(&[b"OBJ.SET", b"k", b"", long.as_bytes()])].concat().repeat(3);
+    let good = [encode_command(&[b"PING"]), encode_command(&[b"OBJ.SET", b"k", b"", long.as_bytes()])]
+        .concat()
+        .repeat(3);
     for (bad, whole) in [
         (&b""[..], 6),
         (b"*1\r\n$2\r\nab\r", 6),
@@ -62,12 +64,17 @@
         let mut kept = BytesMut::from(&all[..]);
         let read = std::iter::from_fn(|| take_command(&mut kept).transpose()).find_map(Result::err);
         for size in [1, 7, 1000, all.len()] {
-            let mut skip = Skip::default();
-            let told = all.chunks(size).find_map(|piece| skip.pass(piece).err());
-            assert_eq!((told, skip.whole), (read, whole), "{size}: {:?}", String::from_utf8_lossy(bad));
+            let mut skip = CommandSkipper::default();
+            let told = all.chunks(size).find_map(|piece| skip.skip(piece).err());
+            assert_eq!(
+                (told, skip.skipped_commands),
+                (read, whole),
+                "{size}: {:?}",
+                String::from_utf8_lossy(bad)
+            );
         }
     }
-    let mut skip = Skip::default();
-    assert_eq!(skip.pass(&[&good[..], b"*1\r\n"].concat()), Ok(good.len()));
-    assert!(skip.begun());
+    let mut skip = CommandSkipper::default();
+    assert_eq!(skip.skip(&[&good[..], b"*1\r\n"].concat()), Ok(good.len()));
+    assert!(skip.has_partial_command());
 }
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -10,8 +10,8 @@
 use pondproxy::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::discovery::{Endpoint, Listing};
-use crate::upstream_pool::Speech;
+use crate::discovery::{Endpoint, ListUpdate};
+use crate::upstream_pool::Protocol;
 
 /// A line of the log names so many servers at most.
 const NAMED_IN_LOG: usize = 8;
@@ -22,44 +22,44 @@
     /// Where it is.
     pub address: SocketAddr,
     /// What is spoken with it.
-    pub speech: Speech,
+    pub protocol: Protocol,
     /// How the decision module knows it.
     line: ServerEntry,
     /// When it last answered anything.
-    pub heard: Micros,
+    pub last_answer_at: Micros,
 }
 
 /// What a list has changed.
 #[derive(Default)]
-pub struct Changes {
+pub struct ListChanges {
     /// The list for the decision module.
-    pub lines: Vec<ServerEntry>,
+    pub entries: Vec<ServerEntry>,
     /// Servers to which no idle connection is of use any more.
-    pub disconnected: Vec<ServerId>,
+    pub close_idle: Vec<ServerId>,
     /// What became of servers, by name.
-    transitions: Vec<(Box<str>, Transition)>,
+    transitions: Vec<(Box<str>, ServerTransition)>,
 }
 
 /// What became of a server.
-enum Transition {
+enum ServerTransition {
     /// It is in another condition than before.
-    Turned(ServerState),
+    StateChanged(ServerState),
     /// It is at another address than before.
     Moved(SocketAddr),
 }
 
-impl std::fmt::Display for Transition {
+impl std::fmt::Display for ServerTransition {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Transition::Turned(ServerState::Ready) => write!(f, "ready"),
-            Transition::Turned(ServerState::Draining) => write!(f, "draining"),
-            Transition::Turned(ServerState::Removed) => write!(f, "gone"),
-            Transition::Moved(address) => write!(f, "moved to {address}"),
+            ServerTransition::StateChanged(ServerState::Ready) => write!(f, "ready"),
+            ServerTransition::StateChanged(ServerState::Draining) => write!(f, "draining"),
+            ServerTransition::StateChanged(ServerState::Removed) => write!(f, "gone"),
+            ServerTransition::Moved(address) => write!(f, "moved to {address}"),
         }
     }
 }
 
-impl Changes {
+impl ListChanges {
     /// What became of servers in words, for the log; nothing where nothing did.
     pub fn summary(&self) -> String {
         let named = self.transitions.iter().take(NAMED_IN_LOG);
@@ -100,15 +100,15 @@
     }
 
     /// A server has answered something.
-    pub fn heard_from(&mut self, id: ServerId, now: Micros) {
+    pub fn record_answer(&mut self, id: ServerId, now: Micros) {
         if let Some(server) = self.servers.get_mut(&id) {
-            server.heard = now;
+            server.last_answer_at = now;
         }
     }
 
     /// Takes over a list or a change of it.
-    pub fn apply(&mut self, kind: ListKind, entries: &[Endpoint], now: Micros) -> Changes {
-        let mut changes = Changes::default();
+    pub fn apply(&mut self, kind: ListKind, entries: &[Endpoint], now: Micros) -> ListChanges {
+        let mut changes = ListChanges::default();
         for entry in entries {
             self.apply_entry(entry, now, &mut changes);
         }
@@ -120,8 +120,8 @@
     }
 
     /// Takes over only which of the servers take no new work any more, by a list or a change of it.
-    pub fn withdraw(&mut self, listing: &Listing, now: Micros) -> Changes {
-        let mut changes = Changes::default();
+    pub fn apply_withdrawals(&mut self, listing: &ListUpdate, now: Micros) -> ListChanges {
+        let mut changes = ListChanges::default();
         for entry in &listing.endpoints {
             if self.withdraws(entry, now) {
                 self.apply_entry(entry, now, &mut changes);
@@ -142,13 +142,13 @@
         line.state != ServerState::Ready && self.ready(id).is_some_and(|server| !older(server))
     }
 
-    fn remove_gone(&mut self, changes: &Changes) {
-        for line in changes.lines.iter().filter(|line| line.state == ServerState::Removed) {
+    fn remove_gone(&mut self, changes: &ListChanges) {
+        for line in changes.entries.iter().filter(|line| line.state == ServerState::Removed) {
             self.servers.remove(&line.id);
         }
     }
 
-    fn apply_entry(&mut self, entry: &Endpoint, now: Micros, changes: &mut Changes) {
+    fn apply_entry(&mut self, entry: &Endpoint, now: Micros, changes: &mut ListChanges) {
         let id = server_id(entry);
         let before = self.servers.get(&id);
         // An address that can't be read must not keep the rest of the entry from taking effect.
@@ -156,24 +156,24 @@
             return;
         };
         let line = self.line(id, entry, now);
-        let speech = match self.deployment.settings.origin_machine_type == Some(line.machine_type) {
-            true => Speech::Http,
-            false => Speech::Resp,
+        let protocol = match self.deployment.settings.origin_machine_type == Some(line.machine_type) {
+            true => Protocol::Http,
+            false => Protocol::Resp,
         };
         let name = Box::from(entry.name.as_str());
         if before.map(|server| server.line.state) != Some(line.state) {
-            changes.transitions.push((Box::clone(&name), Transition::Turned(line.state)));
+            changes.transitions.push((Box::clone(&name), ServerTransition::StateChanged(line.state)));
         }
         let moved = before.is_some_and(|server| server.address != address);
         if moved {
-            changes.transitions.push((Box::clone(&name), Transition::Moved(address)));
+            changes.transitions.push((Box::clone(&name), ServerTransition::Moved(address)));
         }
         if line.state != ServerState::Ready || moved {
-            changes.disconnected.push(id);
+            changes.close_idle.push(id);
         }
-        let heard = before.map_or(0, |server| server.heard);
-        changes.lines.push(line.clone());
-        self.servers.insert(id, Server { name, address, speech, line, heard });
+        let last_answer_at = before.map_or(0, |server| server.last_answer_at);
+        changes.entries.push(line.clone());
+        self.servers.insert(id, Server { name, address, protocol, line, last_answer_at });
     }
 
     fn line(&self, id: ServerId, entry: &Endpoint, now: Micros) -> ServerEntry {
@@ -182,8 +182,8 @@
             id,
             zone: place(&self.deployment.zones, &entry.zone).unwrap_or(255) as u8,
             cell: entry.group,
-            machine_type: place(&self.deployment.machine_types, &entry.kind).unwrap_or(usize::from(u16::MAX))
-                as u16,
+            machine_type: place(&self.deployment.machine_types, &entry.machine_type)
+                .unwrap_or(usize::from(u16::MAX)) as u16,
             weight: entry.weight,
             // In the module's clock, which is Unix time here; 0 stays 0, and nothing starts in the future.
             started_at: match entry.since_ms {
@@ -195,14 +195,15 @@
     }
 
     /// A server that a whole list does not name has been removed.
-    fn remove_unlisted(&mut self, entries: &[Endpoint], changes: &mut Changes) {
+    fn remove_unlisted(&mut self, entries: &[Endpoint], changes: &mut ListChanges) {
         let listed: HashSet<_> = entries.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
-            changes.disconnected.push(*id);
-            changes
-                .transitions
-                .push((std::mem::take(&mut server.name), Transition::Turned(ServerState::Removed)));
-            changes.lines.push(ServerEntry { state: ServerState::Removed, ..server.line.clone() });
+            changes.close_idle.push(*id);
+            changes.transitions.push((
+                std::mem::take(&mut server.name),
+                ServerTransition::StateChanged(ServerState::Removed),
+            ));
+            changes.entries.push(ServerEntry { state: ServerState::Removed, ..server.line.clone() });
         }
     }
 }
--- a/src/bin/pondproxy-node/stream_io.rs
+++ b/src/bin/pondproxy-node/stream_io.rs
@@ -43,37 +43,37 @@
 
 /// Reads what is there now.
 pub fn read_now(stream: &TcpStream, piece: &mut [u8]) -> io::Result<usize> {
-    uninterrupted(|| (&*SockRef::from(stream)).read(piece))
+    retry_interrupted(|| (&*SockRef::from(stream)).read(piece))
 }
 
 /// Writes what there is room for now.
 pub fn write_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-    uninterrupted(|| (&*SockRef::from(stream)).write(bytes))
+    retry_interrupted(|| (&*SockRef::from(stream)).write(bytes))
 }
 
 /// What a look at the input of a connection shows.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Peeked {
+pub enum PeekResult {
     /// Nothing has come that was not read.
-    Nothing,
+    Empty,
     /// Something has come; an end may lie behind it.
-    Unread,
+    DataAvailable,
     /// The other side sends no more, or has reset the connection.
-    Ended,
+    Closed,
 }
 
 /// Looks, by the machine's word, at what was not read yet.
-pub fn peek(stream: &TcpStream) -> Peeked {
-    match uninterrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])) {
-        Ok(0) => Peeked::Ended,
-        Ok(_) => Peeked::Unread,
-        Err(e) if e.kind() == ErrorKind::WouldBlock => Peeked::Nothing,
-        Err(_) => Peeked::Ended,
+pub fn peek(stream: &TcpStream) -> PeekResult {
+    match retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])) {
+        Ok(0) => PeekResult::Closed,
+        Ok(_) => PeekResult::DataAvailable,
+        Err(e) if e.kind() == ErrorKind::WouldBlock => PeekResult::Empty,
+        Err(_) => PeekResult::Closed,
     }
 }
 
 /// Makes a call again for as long as signals interrupt it.
-fn uninterrupted(mut call: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
+fn retry_interrupted(mut call: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -13,12 +13,12 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::client_socket::Presence;
-use crate::connection_slots::{Places, ServerPlace};
-use crate::event_loop::Input;
-use crate::memory_budget::Memory;
-use crate::resp::MAX_VALUE;
-use crate::stream_io::{self, Peeked};
+use crate::client_socket::ClientLiveness;
+use crate::connection_slots::{ConnectionSlots, ServerSlot};
+use crate::event_loop::NodeEvent;
+use crate::memory_budget::MemoryBudget;
+use crate::resp::MAX_VALUE_BYTES;
+use crate::stream_io::{self, PeekResult};
 use crate::{cache_protocol, http, origin_protocol, resp};
 
 /// An answer that has begun and brings nothing more for this part of the longest aim will not be whole.
@@ -29,66 +29,66 @@
 const NO_END: Duration = Duration::from_secs(3600);
 /// A connection rests for so long after an answer. Against a second copy or noise that comes a moment behind
 /// a good answer: it must be seen before the next request is written, or it would be read as its answer.
-const REST: Micros = 15_000;
+const REUSE_DELAY_US: Micros = 15_000;
 
 /// Names a connection; never used twice.
 pub type ConnId = u64;
 /// Names an attempt: its request and its number.
-pub type AttemptKey = (RequestId, u16);
+pub type AttemptId = (RequestId, u16);
 
 /// What a server sent can't be understood; the connection is of no more use.
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub struct Broken;
+pub struct MalformedReply;
 
 /// An answer of a server.
 #[derive(Debug, PartialEq)]
-pub struct Reply {
+pub struct ServerReply {
     pub status: Status,
-    pub note: CacheLookup,
+    pub lookup: CacheLookup,
     pub load: LoadReport,
     pub value: Option<Bytes>,
     /// Whether the connection can carry another request.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// What a connection tells the node.
 #[derive(Debug)]
-pub enum News {
+pub enum ConnEvent {
     /// It is up, and nothing has been written to it.
-    Up,
+    Connected,
     /// The answer to the request that it carried.
-    Answer(Reply),
+    Reply(ServerReply),
     /// Its server answered with what can't be understood: the request may have run, the server is well.
-    Spoilt,
+    Malformed,
     /// Nothing was written to it for a client that has gone; it can carry another request.
-    Unsent,
+    NotSent,
     /// It could not be opened or is lost; whether the last byte of its request may have been written.
-    Lost { written: bool },
+    Failed { written: bool },
 }
 
 /// What is spoken with a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Speech {
+pub enum Protocol {
     Resp,
     Http,
 }
 
 /// A request to carry.
-struct Job {
+struct ConnRequest {
     request: Bytes,
-    client: Presence,
+    client: ClientLiveness,
 }
 
 struct Conn {
     server: ServerId,
     address: SocketAddr,
-    jobs: mpsc::Sender<Job>,
+    jobs: mpsc::Sender<ConnRequest>,
     task: AbortHandle,
     /// The attempt that it was opened for or carries.
-    attempt: Option<AttemptKey>,
+    attempt: Option<AttemptId>,
     idle_since: Micros,
-    carried: u64,
-    _place: ServerPlace,
+    request_count: u64,
+    _slot: ServerSlot,
 }
 
 impl Conn {
@@ -106,41 +106,42 @@
 }
 
 /// All connections to servers.
-pub struct Pool {
+pub struct UpstreamPool {
     conns: HashMap<ConnId, Conn>,
     /// Idle connections of each server, the one used last at the end.
     idle: HashMap<ServerId, Vec<ConnId>>,
     next: ConnId,
-    places: Arc<Places>,
+    connection_slots: Arc<ConnectionSlots>,
     idle_limit: Micros,
     deployment: Arc<Deployment>,
-    memory: Memory,
-    input_sender: mpsc::Sender<Input>,
+    memory: MemoryBudget,
+    event_sender: mpsc::Sender<NodeEvent>,
 }
 
-impl Pool {
-    /// A pool of connections in places of a table that others use too.
+impl UpstreamPool {
+    /// A pool of connections in slots of a table that others use too.
     pub fn new(
-        places: Arc<Places>,
+        connection_slots: Arc<ConnectionSlots>,
         deployment: Arc<Deployment>,
-        memory: Memory,
-        input_sender: mpsc::Sender<Input>,
+        memory: MemoryBudget,
+        event_sender: mpsc::Sender<NodeEvent>,
     ) -> Self {
         // Well before the server closes it: a request written to a closed connection ends as a reset, which
         // may have run and so may not be sent again.
         let idle_limit = deployment.idle_timeout / 2;
         let (conns, idle) = (HashMap::new(), HashMap::new());
-        Pool { conns, idle, next: 1, places, idle_limit, deployment, memory, input_sender }
+        UpstreamPool { conns, idle, next: 1, connection_slots, idle_limit, deployment, memory, event_sender }
     }
 
     /// An idle connection to a server for an attempt, if there is one.
-    pub fn reuse(&mut self, server: ServerId, attempt: AttemptKey, now: Micros) -> Option<ConnId> {
+    pub fn reuse(&mut self, server: ServerId, attempt: AttemptId, now: Micros) -> Option<ConnId> {
         loop {
             let idle = self.idle.get_mut(&server)?;
             // In the order in which they became idle: the one used last among those that have rested.
             let conns = &self.conns;
-            let rested =
-                |id: &ConnId| conns.get(id).is_none_or(|conn| conn.idle_since + REST <= now || !conn.up());
+            let rested = |id: &ConnId| {
+                conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.up())
+            };
             let id = idle.iter().rposition(rested).map(|at| idle.remove(at))?;
             match self.conns.get_mut(&id) {
                 Some(conn) if now < conn.idle_since + self.idle_limit && conn.up() => {
@@ -153,36 +154,44 @@
     }
 
     /// Begins to open a connection for an attempt; `false` where the table is full.
-    pub fn open(
+    pub fn connect(
         &mut self,
         server: ServerId,
         address: SocketAddr,
-        speech: Speech,
-        attempt: AttemptKey,
+        protocol: Protocol,
+        attempt: AttemptId,
     ) -> Option<ConnId> {
-        let _place = self.places.server().or_else(|| {
-            self.drop_one_idle();
-            self.places.server()
+        let _slot = self.connection_slots.acquire_for_server().or_else(|| {
+            self.close_oldest_idle();
+            self.connection_slots.acquire_for_server()
         })?;
         let id = self.next;
         self.next += 1;
         let (jobs, take) = mpsc::channel(1);
-        let (input_sender, deployment, memory) =
-            (self.input_sender.clone(), self.deployment.clone(), self.memory.clone());
+        let (event_sender, deployment, memory) =
+            (self.event_sender.clone(), self.deployment.clone(), self.memory.clone());
         let task = tokio::spawn(async move {
-            let mut link = Link { id, speech, deployment, memory, jobs: take, input_sender };
-            let news = link.run(address).await;
-            let _ = link.input_sender.send(Input::Conn(id, news)).await;
+            let mut conn_task = ConnTask { id, protocol, deployment, memory, jobs: take, event_sender };
+            let news = conn_task.run(address).await;
+            let _ = conn_task.event_sender.send(NodeEvent::Connection(id, news)).await;
         });
         let task = task.abort_handle();
-        let conn =
-            Conn { server, address, jobs, task, attempt: Some(attempt), idle_since: 0, carried: 0, _place };
+        let conn = Conn {
+            server,
+            address,
+            jobs,
+            task,
+            attempt: Some(attempt),
+            idle_since: 0,
+            request_count: 0,
+            _slot,
+        };
         self.conns.insert(id, conn);
         Some(id)
     }
 
     /// The attempt that a connection was opened for or carries; `None` also where it was given up.
-    pub fn attempt(&self, id: ConnId) -> Option<AttemptKey> {
+    pub fn attempt(&self, id: ConnId) -> Option<AttemptId> {
         self.conns.get(&id)?.attempt
     }
 
@@ -192,15 +201,15 @@
     }
 
     /// How many requests a connection has been given.
-    pub fn carried(&self, id: ConnId) -> u64 {
-        self.conns.get(&id).map_or(0, |conn| conn.carried)
+    pub fn request_count(&self, id: ConnId) -> u64 {
+        self.conns.get(&id).map_or(0, |conn| conn.request_count)
     }
 
     /// Hands a client's request to a connection that is up; `false` if it is lost already.
-    pub fn start(&mut self, id: ConnId, request: Bytes, client: Presence) -> bool {
+    pub fn send_request(&mut self, id: ConnId, request: Bytes, client: ClientLiveness) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
-        conn.carried += 1;
-        conn.jobs.try_send(Job { request, client }).is_ok()
+        conn.request_count += 1;
+        conn.jobs.try_send(ConnRequest { request, client }).is_ok()
     }
 
     /// A connection owes nothing any more and may be used again.
@@ -231,7 +240,7 @@
     }
 
     /// Closes what has been idle for long.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn close_expired_idle(&mut self, now: Micros) {
         let (conns, limit) = (&mut self.conns, self.idle_limit);
         self.idle.retain(|_, ids| {
             ids.retain(|id| {
@@ -246,7 +255,7 @@
     }
 
     /// Closes the connection that has been idle for longest.
-    pub fn drop_one_idle(&mut self) {
+    pub fn close_oldest_idle(&mut self) {
         let oldest = self.idle.values().filter_map(|ids| ids.first());
         let oldest = oldest.min_by_key(|id| self.conns.get(id).map_or(0, |conn| conn.idle_since)).copied();
         oldest.into_iter().for_each(|id| self.close(id));
@@ -255,113 +264,115 @@
 
 /// Whether nothing has come on a connection, neither bytes nor its end, by the machine's word.
 fn silent(stream: &TcpStream) -> bool {
-    stream_io::peek(stream) == Peeked::Nothing
+    stream_io::peek(stream) == PeekResult::Empty
 }
 
 /// One connection, in its task.
-struct Link {
+struct ConnTask {
     id: ConnId,
-    speech: Speech,
+    protocol: Protocol,
     deployment: Arc<Deployment>,
-    memory: Memory,
-    jobs: mpsc::Receiver<Job>,
-    input_sender: mpsc::Sender<Input>,
+    memory: MemoryBudget,
+    jobs: mpsc::Receiver<ConnRequest>,
+    event_sender: mpsc::Sender<NodeEvent>,
 }
 
-impl Link {
+impl ConnTask {
     /// Opens the connection and carries one request after the other, until it is lost.
-    async fn run(&mut self, address: SocketAddr) -> News {
+    async fn run(&mut self, address: SocketAddr) -> ConnEvent {
         // A machine that vanished answers nothing: the connect has a time-out of its own.
         let limit = Duration::from_micros(self.deployment.settings.connect_timeout.max(1_000));
         let Ok(Ok(stream)) = tokio::time::timeout(limit, TcpStream::connect(address)).await else {
-            return News::Lost { written: false };
+            return ConnEvent::Failed { written: false };
         };
         let _ = stream.set_nodelay(true);
         let aim =
             self.deployment.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
         let half_told = Duration::from_micros((aim / HALF_TOLD).clamp(10_000, 250_000));
         // Servers may hold values that are longer than what clients send through here: what bounds them is memory.
-        let longest = (self.memory.all() / 4).min(MAX_ANSWER);
+        let longest = (self.memory.total_bytes() / 4).min(MAX_ANSWER);
         let mut buffer = BytesMut::new();
-        let mut news = News::Up;
+        let mut news = ConnEvent::Connected;
         loop {
-            if self.input_sender.send(Input::Conn(self.id, news)).await.is_err() {
-                return News::Lost { written: false };
+            if self.event_sender.send(NodeEvent::Connection(self.id, news)).await.is_err() {
+                return ConnEvent::Failed { written: false };
             }
             buffer.reserve(2048);
             let job = tokio::select! {
                 // First: a connection that the server has ended is not written to, so that its request
                 // surely never ran.
                 biased;
-                _ = stream_io::read(&stream, &mut buffer) => return News::Lost { written: false },
+                _ = stream_io::read(&stream, &mut buffer) => return ConnEvent::Failed { written: false },
                 job = self.jobs.recv() => job,
             };
-            let Some(Job { request, client }) = job else { return News::Lost { written: false } };
+            let Some(ConnRequest { request, client }) = job else {
+                return ConnEvent::Failed { written: false };
+            };
             // Against work for nobody: since the request was chosen its client may have gone.
-            if client.gone_behind_its_input().await {
-                news = News::Unsent;
+            if client.disconnected_after_unread_input().await {
+                news = ConnEvent::NotSent;
                 continue;
             }
             // Against a request written behind an end, or behind an answer that nobody waits for, that came in
             // the very moment: the runtime tells of what is there a little later than it is there.
             if !silent(&stream) {
-                return News::Lost { written: false };
+                return ConnEvent::Failed { written: false };
             }
             let mut rest = &request[..];
             while !rest.is_empty() {
                 // Nor does a request become whole that its server took a part of before its client went.
-                if rest.len() < request.len() && client.gone() {
-                    return News::Lost { written: false };
+                if rest.len() < request.len() && client.disconnected() {
+                    return ConnEvent::Failed { written: false };
                 }
                 match stream_io::write(&stream, rest).await {
                     Ok(count) if count > 0 => rest = &rest[count..],
-                    _ => return News::Lost { written: false },
+                    _ => return ConnEvent::Failed { written: false },
                 }
             }
             drop(request);
-            let mut share = None;
+            let mut reservation = None;
             let reply = loop {
                 // The rest of an answer comes with its beginning. Against lines and values that never end: one
                 // that stands still half told is spoilt, and its request can still go elsewhere.
                 let patience = if buffer.is_empty() { NO_END } else { half_told };
-                let decoded = match self.speech {
-                    Speech::Resp => {
+                let decoded = match self.protocol {
+                    Protocol::Resp => {
                         cache_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
                     }
-                    Speech::Http => {
+                    Protocol::Http => {
                         origin_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
                     }
                 };
                 match decoded {
                     Ok(Some(reply)) => break reply,
                     Ok(None) => {}
-                    Err(Broken) => return News::Spoilt,
+                    Err(MalformedReply) => return ConnEvent::Malformed,
                 }
                 // Against long answers that together are more than the memory: they wait their turn.
-                if buffer.len() > 4096 && share.is_none() {
-                    let stated = match self.speech {
-                        Speech::Resp => resp::stated(&buffer),
-                        Speech::Http => {
+                if buffer.len() > 4096 && reservation.is_none() {
+                    let stated = match self.protocol {
+                        Protocol::Resp => resp::declared_length(&buffer),
+                        Protocol::Http => {
                             http::head(&buffer).ok().flatten().and_then(|head| head.content_length)
                         }
                     };
-                    let stated = stated.unwrap_or(0).clamp(MAX_VALUE, longest);
-                    share = Some(self.memory.wait(2 * stated).await);
+                    let stated = stated.unwrap_or(0).clamp(MAX_VALUE_BYTES, longest);
+                    reservation = Some(self.memory.reserve(2 * stated).await);
                     buffer.reserve(stated);
                 }
                 buffer.reserve(2048);
                 match tokio::time::timeout(patience, stream_io::read(&stream, &mut buffer)).await {
                     Ok(Ok(count)) if count > 0 => {}
-                    Ok(_) => return News::Lost { written: true },
-                    Err(_) => return News::Spoilt,
+                    Ok(_) => return ConnEvent::Failed { written: true },
+                    Err(_) => return ConnEvent::Malformed,
                 }
             };
             // Bytes beyond the answer belong to no request: nothing after them could be matched.
             let more = !buffer.is_empty() || !silent(&stream);
-            let keep = reply.keep && !more;
+            let keep_alive = reply.keep_alive && !more;
             buffer = BytesMut::new();
-            news = News::Answer(Reply { keep, ..reply });
-            if !keep {
+            news = ConnEvent::Reply(ServerReply { keep_alive, ..reply });
+            if !keep_alive {
                 return news;
             }
         }
--- a/src/bin/pondproxy-node/upstream_pool/tests.rs
+++ b/src/bin/pondproxy-node/upstream_pool/tests.rs
@@ -5,11 +5,11 @@
 use std::net::{Shutdown, TcpStream as Peer};
 
 use super::*;
-use crate::client_socket::Socket;
+use crate::client_socket::ClientSocket;
 
 /// What becomes of a request that is handed to a connection in the very moment in which its server or its client
 /// does something, and what the server had of it: the runtime does not look at the sockets between the two.
-fn crossed(does: fn(&mut Peer, &mut Peer)) -> (News, Vec<u8>) {
+fn crossed(does: fn(&mut Peer, &mut Peer)) -> (ConnEvent, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -17,25 +17,26 @@
         let mut client = Peer::connect(address).unwrap();
         let accepted = listener.accept().unwrap().0;
         accepted.set_nonblocking(true).unwrap();
-        let socket = Socket::new(TcpStream::from_std(accepted).unwrap());
-        let (input_sender, mut inputs) = mpsc::channel(8);
+        let socket = ClientSocket::new(TcpStream::from_std(accepted).unwrap());
+        let (event_sender, mut event_receiver) = mpsc::channel(8);
         let (say, jobs) = mpsc::channel(1);
         let deployment = Arc::new(pondproxy::settings::parse(b"{}").unwrap());
-        let memory = Memory::new(64);
-        let mut link = Link { id: 1, speech: Speech::Resp, deployment, memory, jobs, input_sender };
-        let mut task = tokio::spawn(async move { link.run(address).await });
-        assert!(matches!(inputs.recv().await, Some(Input::Conn(1, News::Up))));
+        let memory = MemoryBudget::new(64);
+        let mut conn_task =
+            ConnTask { id: 1, protocol: Protocol::Resp, deployment, memory, jobs, event_sender };
+        let mut task = tokio::spawn(async move { conn_task.run(address).await });
+        assert!(matches!(event_receiver.recv().await, Some(NodeEvent::Connection(1, ConnEvent::Connected))));
         let mut server = listener.accept().unwrap().0;
         // Until the task has nothing to do but wait.
         for _ in 0..10 {
             tokio::task::yield_now().await;
         }
         does(&mut server, &mut client);
-        let job = Job { request: Bytes::from_static(b"request"), client: socket.presence() };
+        let job = ConnRequest { request: Bytes::from_static(b"request"), client: socket.liveness() };
         say.try_send(job).map_err(drop).unwrap();
         let news = tokio::select! {
             ended = &mut task => ended.unwrap(),
-            Some(Input::Conn(1, news)) = inputs.recv() => news,
+            Some(NodeEvent::Connection(1, news)) = event_receiver.recv() => news,
         };
         task.abort();
         while !task.is_finished() {
@@ -50,14 +51,14 @@
 #[test]
 fn a_request_handed_over_as_its_server_ends_the_connection_was_surely_never_sent() {
     let (news, had) = crossed(|server, _| server.shutdown(Shutdown::Write).unwrap());
-    assert!(matches!(news, News::Lost { written: false }), "{news:?}");
+    assert!(matches!(news, ConnEvent::Failed { written: false }), "{news:?}");
     assert_eq!(had, b"");
 }
 
 #[test]
 fn an_answer_that_comes_as_a_request_is_handed_over_is_not_taken_for_its_answer() {
     let (news, had) = crossed(|server, _| server.write_all(b"*3\r\n$5\r\nstale\r\n$-1\r\n$-1\r\n").unwrap());
-    assert!(matches!(news, News::Lost { written: false }), "{news:?}");
+    assert!(matches!(news, ConnEvent::Failed { written: false }), "{news:?}");
     assert_eq!(had, b"");
 }
 
@@ -77,7 +78,7 @@
     ];
     for (at, leave) in leaves.into_iter().enumerate() {
         let (news, had) = crossed(leave);
-        assert!(matches!(news, News::Unsent), "{at}: {news:?}");
+        assert!(matches!(news, ConnEvent::NotSent), "{at}: {news:?}");
         assert_eq!(had, b"", "{at}");
     }
 }
@@ -88,11 +89,12 @@
     runtime.block_on(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (input_sender, mut inputs) = mpsc::channel(8);
+        let (event_sender, mut event_receiver) = mpsc::channel(8);
         let deployment = Arc::new(pondproxy::settings::parse(b"{}").unwrap());
-        let mut pool = Pool::new(Places::new(256), deployment, Memory::new(64), input_sender);
-        let id = pool.open(7, address, Speech::Resp, (1, 0)).unwrap();
-        assert!(matches!(inputs.recv().await, Some(Input::Conn(_, News::Up))));
+        let mut pool =
+            UpstreamPool::new(ConnectionSlots::new(256), deployment, MemoryBudget::new(64), event_sender);
+        let id = pool.connect(7, address, Protocol::Resp, (1, 0)).unwrap();
+        assert!(matches!(event_receiver.recv().await, Some(NodeEvent::Connection(_, ConnEvent::Connected))));
         for answered in [1_000_000, 2_000_000] {
             pool.release(id, Some(address), answered);
             assert_eq!(pool.reuse(7, (2, 0), answered + 14_999), None, "some milliseconds later it may come");
