--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -367,7 +367,8 @@
                 answer = self.reply_receiver.recv() => {
                     self.longest = answer.as_ref().map_or(0, |a| a.bytes.len()).max(self.longest);
                     if let Some(ClientReply { reply_index, bytes, reservation }) = answer
-                        && let Some(place) = self.pending_replies.get_mut(reply_index.saturating_sub(self.first) as usize)
+                        && let Some(place) =
+                            self.pending_replies.get_mut(reply_index.saturating_sub(self.first) as usize)
                     {
                         *place = PendingReply::Ready(bytes, reservation);
                     }
@@ -381,11 +382,14 @@
                 () = sleep_until(next_piece), if unread && skips => {
                     let late = next_piece.elapsed().saturating_sub(BUSY.0);
                     self.next_piece = Instant::now() + (PAUSE + BUSY.1 * late).min(BUSY.2);
-                    if left(self.socket.read_discarded(|piece| if !self.broken { self.input.add(piece, 0) })) {
+                    if left(
+                        self.socket.read_discarded(|piece| if !self.broken { self.input.add(piece, 0) })
+                    ) {
                         return Ended::Gone;
                     }
                 }
-                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if long => self.input.add_reservation(reservation, 2 * resp::MAX_VALUE_BYTES),
+                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if long =>
+                    self.input.add_reservation(reservation, 2 * resp::MAX_VALUE_BYTES),
                 () = until(long_by), if long_by.is_some() => self.input.start_skipping(),
                 news = self.socket.wait_ready(self.output.is_some()) => {
                     if news.is_err() {
@@ -406,7 +410,8 @@
                     self.answer_now("-ERR no whole command in time\r\n");
                 }
                 () = until(by), if by.is_some() => return Ended::Gone,
-                () = sleep_until(self.idle_since + IDLE), if between && self.first > 0 => return Ended::Closed,
+                () = sleep_until(self.idle_since + IDLE), if between && self.first > 0 =>
+                    return Ended::Closed,
             }
         }
     }
