--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -8,236 +8,274 @@
 use socket2::SockRef;
 
 use crate::stand_ins::*;
-use crate::{no_origin, pair, quiet};
+use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
 /// Answers that a stand-in holds back, each until it is told.
-struct Held {
-    go: Vec<Sender<()>>,
-    waits: Arc<Mutex<Vec<Receiver<()>>>>,
+struct HeldAnswers {
+    release_senders: Vec<Sender<()>>,
+    release_signals: Arc<Mutex<Vec<Receiver<()>>>>,
 }
 
-impl Held {
-    fn new() -> Held {
-        let (go, waits) = (0..64).map(|_| channel()).unzip();
-        Held { go, waits: Arc::new(Mutex::new(waits)) }
+impl HeldAnswers {
+    fn new() -> HeldAnswers {
+        let (release_senders, release_signals) = (0..64).map(|_| channel()).unzip();
+        HeldAnswers { release_senders, release_signals: Arc::new(Mutex::new(release_signals)) }
     }
 
     /// What makes such an answer; its connection ends behind it, so that its end tells that all was said.
-    fn act(&self) -> impl Fn(Vec<u8>) -> Act + Send + Clone + 'static {
-        let waits = self.waits.clone();
-        move |bytes| Act::SayAfterAndClose(waits.lock().unwrap().pop().expect("another to hold"), bytes)
+    fn blocking_action(&self) -> impl Fn(Vec<u8>) -> ServerAction + Send + Clone + 'static {
+        let release_signals = self.release_signals.clone();
+        move |bytes| {
+            ServerAction::AnswerAfterThenClose(
+                release_signals.lock().unwrap().pop().expect("another to hold"),
+                bytes,
+            )
+        }
     }
 
     /// Lets all go on, and waits until so many have ended.
-    fn release(&self, at: &StandIn, count: usize) {
-        for go in &self.go {
-            let _ = go.send(());
+    fn release_all(&self, server: &StandIn, count: usize) {
+        for release in &self.release_senders {
+            let _ = release.send(());
         }
-        (0..count).for_each(|_| at.ended());
+        (0..count).for_each(|_| server.wait_for_connection_end());
     }
 }
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leave {
+enum Disconnect {
     /// It closes its half, and sees the node close the other.
-    HalfClosed,
+    HalfClose,
     /// It resets the connection; that the node has noticed shows in the id, which is free again.
     Reset,
 }
 
 /// What it has sent behind the requests that are held.
 #[derive(Clone, Copy, Debug)]
-enum Behind {
+enum PipelinedInput {
     /// More requests, less than the machine holds for the node.
-    Few,
+    FitsBuffers,
     /// More than the machine holds: the client's end reaches it only as the node reads on.
-    Many,
+    ExceedsBuffers,
     /// As much that is no request.
     Garbage,
 }
 
-const WAYS: [(Leave, Behind); 4] = [
-    (Leave::HalfClosed, Behind::Few),
-    (Leave::Reset, Behind::Few),
-    (Leave::HalfClosed, Behind::Many),
-    (Leave::HalfClosed, Behind::Garbage),
+const DISCONNECT_CASES: [(Disconnect, PipelinedInput); 4] = [
+    (Disconnect::HalfClose, PipelinedInput::FitsBuffers),
+    (Disconnect::Reset, PipelinedInput::FitsBuffers),
+    (Disconnect::HalfClose, PipelinedInput::ExceedsBuffers),
+    (Disconnect::HalfClose, PipelinedInput::Garbage),
 ];
 
 /// Has a client leave, and waits until the node has noticed: not by the answer of the request, which is held.
-fn leave(node: &Node, mut client: Client, id: &str, how: Leave) {
-    match how {
-        Leave::HalfClosed => {
-            client.out.shutdown(Shutdown::Write).unwrap();
-            assert_eq!(client.answer(), None, "the node closes as well, and has not waited for the answers");
+fn disconnect_and_wait(node: &Node, mut client: Client, id: &str, disconnect: Disconnect) {
+    match disconnect {
+        Disconnect::HalfClose => {
+            client.stream.shutdown(Shutdown::Write).unwrap();
+            assert_eq!(
+                client.read_answer(),
+                None,
+                "the node closes as well, and has not waited for the answers"
+            );
         }
-        Leave::Reset => {
-            SockRef::from(&client.out).set_linger(Some(Duration::ZERO)).unwrap();
+        Disconnect::Reset => {
+            SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
             drop(client);
-            let mut other = node.client();
-            let free = || other.ask(&get("free", id)).unwrap() != "-ERR a request with this id is open";
-            assert!(std::iter::repeat_with(free).take(200_000).any(|free| free), "its id is free again");
+            let mut other = node.connect_client();
+            let id_is_free =
+                || other.request(&get("free", id)).unwrap() != "-ERR a request with this id is open";
+            assert!(
+                std::iter::repeat_with(id_is_free).take(200_000).any(|id_is_free| id_is_free),
+                "its id is free again"
+            );
         }
     }
 }
 
 /// Has a client ask more than is taken at once from one connection, and leave while so many of its requests are
 /// held at a stand-in; then lets these go on. Returns the node once all of them have their end.
-fn leave_behind_a_full_pipeline(
-    known: &str,
-    ask: impl Fn(&str) -> Vec<u8>,
-    (held, at, count): (&Held, &StandIn, usize),
-    (how, behind): (Leave, Behind),
+fn disconnect_with_full_pipeline(
+    known_list: &str,
+    command_with_id: impl Fn(&str) -> Vec<u8>,
+    (held_answers, server, count): (&HeldAnswers, &StandIn, usize),
+    (disconnect, pipelined_input): (Disconnect, PipelinedInput),
 ) -> Node {
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start(discovery, known);
-    let mut client = node.client();
-    let asks = |from: usize, to: usize| (from..to).flat_map(|id| ask(&format!("p{id}"))).collect::<Vec<_>>();
-    client.send(&asks(0, 16));
-    client.send(&match behind {
-        Behind::Few => asks(16, 40),
-        Behind::Many => asks(16, 6_000),
-        Behind::Garbage => vec![b'x'; 300_000],
+    let (discovery, _updates, _calls) = idle_discovery();
+    let node = Node::start(discovery, known_list);
+    let mut client = node.connect_client();
+    let commands = |from: usize, to: usize| {
+        (from..to).flat_map(|id| command_with_id(&format!("p{id}"))).collect::<Vec<_>>()
+    };
+    client.send(&commands(0, 16));
+    client.send(&match pipelined_input {
+        PipelinedInput::FitsBuffers => commands(16, 40),
+        PipelinedInput::ExceedsBuffers => commands(16, 6_000),
+        PipelinedInput::Garbage => vec![b'x'; 300_000],
     });
     for _ in 0..count {
-        assert!(at.next().words.concat().contains("aa"));
+        assert!(server.next_request().parts.concat().contains("aa"));
     }
-    leave(&node, client, "p0", how);
-    held.release(at, count);
+    disconnect_and_wait(&node, client, "p0", disconnect);
+    held_answers.release_all(server, count);
     node
 }
 
 #[test]
-fn a_client_that_leaves_behind_a_full_pipeline_has_no_misses_fetched() {
-    for how in WAYS {
-        let held = Held::new();
-        let act = held.act();
-        let cache = cache(move |words| match words[1].as_str() {
-            "free" => Act::Say(hit("free")),
-            _ => act(miss()),
+fn no_miss_is_fetched_after_its_client_disconnects_with_a_full_pipeline() {
+    for disconnect_case in DISCONNECT_CASES {
+        let held_answers = HeldAnswers::new();
+        let respond = held_answers.blocking_action();
+        let cache = cache_server(move |parts| match parts[1].as_str() {
+            "free" => ServerAction::Answer(hit("free")),
+            _ => respond(miss()),
         });
-        let origin = origin(|_| Act::Say(http(200, "", "made")));
-        let known = pair(cache.address, origin.address);
-        let node = leave_behind_a_full_pipeline(&known, |id| get("aa", id), (&held, &cache, 16), how);
-        assert_eq!(node.client().ask(&put("mark", "m", "v")).unwrap(), "made");
-        assert_eq!(origin.next().words[0], "PUT /mark HTTP/1.1", "{how:?}: nothing was fetched before");
+        let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
+        let known_list = list_of_one_cache(cache.address, origin.address);
+        let node = disconnect_with_full_pipeline(
+            &known_list,
+            |id| get("aa", id),
+            (&held_answers, &cache, 16),
+            disconnect_case,
+        );
+        assert_eq!(node.connect_client().request(&put("mark", "m", "v")).unwrap(), "made");
+        assert_eq!(
+            origin.next_request().parts[0],
+            "PUT /mark HTTP/1.1",
+            "{disconnect_case:?}: nothing was fetched before"
+        );
     }
 }
 
 #[test]
-fn a_client_that_leaves_behind_a_full_pipeline_has_no_broken_reads_tried_again() {
-    for how in WAYS {
-        let held = Held::new();
-        let act = held.act();
-        let cache = cache(move |words| match words[1].as_str() {
-            "aa" => act(Vec::new()),
-            key => Act::Say(hit(key)),
+fn no_failed_read_is_retried_after_its_client_disconnects_with_a_full_pipeline() {
+    for disconnect_case in DISCONNECT_CASES {
+        let held_answers = HeldAnswers::new();
+        let respond = held_answers.blocking_action();
+        let cache = cache_server(move |parts| match parts[1].as_str() {
+            "aa" => respond(Vec::new()),
+            key => ServerAction::Answer(hit(key)),
         });
-        let known = pair(cache.address, no_origin().address);
-        let node = leave_behind_a_full_pipeline(&known, |id| get("aa", id), (&held, &cache, 16), how);
-        assert_eq!(node.client().ask(&get("mark", "m")).unwrap(), "mark");
-        let next = || cache.next().words[1].clone();
-        let sent = std::iter::repeat_with(next).find(|key| key != "free");
-        assert_eq!(sent.unwrap(), "mark", "{how:?}: nothing was sent again before");
+        let known_list = list_of_one_cache(cache.address, failing_origin().address);
+        let node = disconnect_with_full_pipeline(
+            &known_list,
+            |id| get("aa", id),
+            (&held_answers, &cache, 16),
+            disconnect_case,
+        );
+        assert_eq!(node.connect_client().request(&get("mark", "m")).unwrap(), "mark");
+        let next_key = || cache.next_request().parts[1].clone();
+        let first_key = std::iter::repeat_with(next_key).find(|key| key != "free");
+        assert_eq!(first_key.unwrap(), "mark", "{disconnect_case:?}: nothing was sent again before");
     }
 }
 
 #[test]
-fn a_client_that_leaves_behind_a_full_pipeline_has_nothing_sent_that_waits_for_the_gate() {
-    for how in WAYS {
-        let held = Held::new();
-        let act = held.act();
-        let cache = cache(|words| Act::Say(hit(&words[1])));
-        let origin = origin(move |words| match words[0].as_str() {
-            "PUT /mark HTTP/1.1" => Act::Say(http(200, "", "made")),
-            _ => act(http(200, "", "made")),
+fn no_write_waiting_for_the_gate_is_sent_after_its_client_disconnects() {
+    for disconnect_case in DISCONNECT_CASES {
+        let held_answers = HeldAnswers::new();
+        let respond = held_answers.blocking_action();
+        let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
+        let origin = origin_server(move |parts| match parts[0].as_str() {
+            "PUT /mark HTTP/1.1" => ServerAction::Answer(http_response(200, "", "made")),
+            _ => respond(http_response(200, "", "made")),
         });
-        let known = pair(cache.address, origin.address);
+        let known_list = list_of_one_cache(cache.address, origin.address);
         // As many are out as the gate lets through at first.
-        let node = leave_behind_a_full_pipeline(&known, |id| put("aa", id, "v"), (&held, &origin, 10), how);
-        assert_eq!(node.client().ask(&put("mark", "m", "v")).unwrap(), "made");
+        let node = disconnect_with_full_pipeline(
+            &known_list,
+            |id| put("aa", id, "v"),
+            (&held_answers, &origin, 10),
+            disconnect_case,
+        );
+        assert_eq!(node.connect_client().request(&put("mark", "m", "v")).unwrap(), "made");
         assert_eq!(
-            origin.next().words[0],
+            origin.next_request().parts[0],
             "PUT /mark HTTP/1.1",
-            "{how:?}: the gate let nothing through before"
+            "{disconnect_case:?}: the gate let nothing through before"
         );
     }
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_has_nothing_written_to_it() {
-    let crowded = Crowded::new();
-    let origin = origin(|_| Act::Say(http(200, "", "made")));
-    let (discovery, _say, _calls) = quiet();
-    let known = pair(crowded.address, origin.address);
-    let node = Node::start_in(discovery, &known, (256, 16), "", &patient());
-    let mut client = node.client();
-    client.send(&patient_get("aa", "gone"));
+fn no_request_is_sent_on_a_new_connection_after_its_client_disconnects() {
+    let full_backlog_server = FullBacklogServer::new();
+    let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
+    let (discovery, _updates, _calls) = idle_discovery();
+    let known_list = list_of_one_cache(full_backlog_server.address, origin.address);
+    let node = Node::start_with_settings(discovery, &known_list, (256, 16), "", &long_timeout_settings());
+    let mut client = node.connect_client();
+    client.send(&long_deadline_get("aa", "gone"));
     // Behind it on the same connection, so that the node has taken it once this is at the origin.
     client.send(&put("bb", "here", "v"));
-    assert_eq!(origin.next().words[0], "PUT /bb HTTP/1.1");
-    leave(&node, client, "gone", Leave::HalfClosed);
+    assert_eq!(origin.next_request().parts[0], "PUT /bb HTTP/1.1");
+    disconnect_and_wait(&node, client, "gone", Disconnect::HalfClose);
     // The connection that the node opened for it comes up. What it writes now is of the next request.
-    let cache = crowded.open(|words| Act::Say(hit(&words[2])));
-    assert_eq!(node.client().ask(&get("aa", "mark")).unwrap(), "mark");
-    assert_eq!(cache.next().words[2], "mark", "nothing was written before");
+    let cache = full_backlog_server.start_accepting(|parts| ServerAction::Answer(hit(&parts[2])));
+    assert_eq!(node.connect_client().request(&get("aa", "mark")).unwrap(), "mark");
+    assert_eq!(cache.next_request().parts[2], "mark", "nothing was written before");
 }
 
 #[test]
-fn what_a_client_sends_ahead_beyond_what_is_kept_is_read_and_refused_in_its_turn() {
-    let held = Held::new();
-    let act = held.act();
-    let cache = cache(move |words| match words[1].as_str() {
-        "aa" => act(hit("held")),
-        key => Act::Say(hit(key)),
+fn pipelined_commands_beyond_the_buffer_limit_are_read_and_shed_in_order() {
+    let held_answers = HeldAnswers::new();
+    let respond = held_answers.blocking_action();
+    let cache = cache_server(move |parts| match parts[1].as_str() {
+        "aa" => respond(hit("held")),
+        key => ServerAction::Answer(hit(key)),
     });
-    let origin = origin(|_| Act::Say(http(200, "", "made")));
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start(discovery, &pair(cache.address, origin.address));
-    let mut client = node.client();
+    let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
+    let (discovery, _updates, _calls) = idle_discovery();
+    let node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
+    let mut client = node.connect_client();
     client.send(&get("aa", "first"));
-    cache.next();
+    cache.next_request();
     // Far more than the machine holds for the two: the last of it is written once the node reads on.
-    client.out.set_write_timeout(Some(LONG)).unwrap();
+    client.stream.set_write_timeout(Some(LONG_TIMEOUT)).unwrap();
     let value = "v".repeat(60_000);
     (0..500).for_each(|id| client.send(&put("bb", &format!("p{id}"), &value)));
-    held.release(&cache, 1);
-    assert_eq!(client.answer().unwrap(), "held");
-    let answers: Vec<_> = (0..500).map(|_| client.answer().unwrap()).collect();
+    held_answers.release_all(&cache, 1);
+    assert_eq!(client.read_answer().unwrap(), "held");
+    let answers: Vec<_> = (0..500).map(|_| client.read_answer().unwrap()).collect();
     assert!(answers.iter().all(|answer| answer == "made" || answer.starts_with("-BUSY")), "{answers:?}");
     assert_eq!(answers[499], "-BUSY");
-    assert_eq!(client.ask(&get("cc", "last")).unwrap(), "cc", "and the connection goes on");
+    assert_eq!(client.request(&get("cc", "last")).unwrap(), "cc", "and the connection goes on");
 }
 
 #[test]
-fn clients_that_have_left_before_the_node_comes_to_read_have_nothing_sent_on() {
-    for known_before in [true, false] {
-        let cache = cache(|words| Act::Say(hit(&words[1])));
-        let (discovery, _say, _calls) = quiet();
-        let node = Node::start(discovery, &pair(cache.address, no_origin().address));
-        let taken = || {
-            let mut client = node.client();
-            assert_eq!(client.ask(&command(&["PING"])).unwrap(), "+PONG");
+fn requests_of_clients_that_disconnect_before_they_are_read_are_not_forwarded() {
+    for pinged_before in [true, false] {
+        let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
+        let (discovery, _updates, _calls) = idle_discovery();
+        let node = Node::start(discovery, &list_of_one_cache(cache.address, failing_origin().address));
+        let pinged_client = || {
+            let mut client = node.connect_client();
+            assert_eq!(client.request(&command(&["PING"])).unwrap(), "+PONG");
             client
         };
-        let mut clients: Vec<_> = (0..20).filter(|_| known_before).map(|_| taken()).collect();
+        let mut clients: Vec<_> = (0..20).filter(|_| pinged_before).map(|_| pinged_client()).collect();
         // Connections that can carry a request at once, as soon as they have rested.
-        let mut warm = node.client();
-        warm.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
-        assert!((0..16).all(|_| warm.answer().unwrap() == "warm" && cache.next().words[1] == "warm"));
+        let mut warming_client = node.connect_client();
+        warming_client.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
+        assert!(
+            (0..16).all(|_| warming_client.read_answer().unwrap() == "warm"
+                && cache.next_request().parts[1] == "warm")
+        );
         std::thread::sleep(Duration::from_millis(100));
         // All of it comes in one turn of the loop.
-        node.stopped(|| {
-            clients.extend((clients.len()..20).map(|_| node.client()));
-            for (at, mut client) in clients.into_iter().enumerate() {
-                client.send(&(0..60).flat_map(|id| get("aa", &format!("{at}-{id}"))).collect::<Vec<_>>());
+        node.while_stopped(|| {
+            clients.extend((clients.len()..20).map(|_| node.connect_client()));
+            for (index, mut client) in clients.into_iter().enumerate() {
+                client.send(&(0..60).flat_map(|id| get("aa", &format!("{index}-{id}"))).collect::<Vec<_>>());
             }
         });
-        for at in 0..20 {
+        for index in 0..20 {
             // The module may refuse while it still counts on the requests of those.
-            let served = || node.client().ask(&get("mark", &format!("m{at}"))).unwrap() == "mark";
-            assert!(std::iter::repeat_with(served).take(200_000).any(|served| served));
-            assert_eq!(cache.next().words[1], "mark", "known before: {known_before}");
+            let answered =
+                || node.connect_client().request(&get("mark", &format!("m{index}"))).unwrap() == "mark";
+            assert!(std::iter::repeat_with(answered).take(200_000).any(|answered| answered));
+            assert_eq!(cache.next_request().parts[1], "mark", "known before: {pinged_before}");
         }
     }
 }
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -8,37 +8,37 @@
 use socket2::SockRef;
 
 use crate::stand_ins::*;
-use crate::{connecting, no_origin, trio};
+use crate::{failing_origin, list_of_two_caches, start_connecting_node};
 
 /// What discovery does on a connection, one step after the other. The connection stays open behind the last.
 pub enum Step {
-    Wait(Duration),
+    Sleep(Duration),
     /// Says empty lines until something comes through the channel.
-    Idle(Receiver<()>),
-    Say(Vec<u8>),
+    SendEmptyLinesUntil(Receiver<()>),
+    Send(Vec<u8>),
     /// Sends a byte of urgent data, which belongs to no answer: a read ends in front of it, though there is more.
-    Urgent,
+    SendUrgentByte,
     /// Waits until something comes through the channel, and silently so.
-    Await(Receiver<()>),
+    WaitFor(Receiver<()>),
     /// Says that it has come so far.
-    Tell(Sender<()>),
+    Notify(Sender<()>),
     /// Ends the connection.
     Close,
 }
 
 /// What discovery tells of the end of a call.
-pub const ENDED: &str = "ended";
+pub const CALL_ENDED: &str = "ended";
 
 /// Discovery that plays a script for each call. It tells of each call as it comes, and of its end once the script is
 /// played.
-pub fn scripted(scripts: Vec<Vec<Step>>) -> (SocketAddr, Receiver<String>) {
+pub fn scripted_discovery(scripts: Vec<Vec<Step>>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, calls) = channel();
+    let (call_sender, calls) = channel();
     std::thread::spawn(move || {
         for (script, stream) in scripts.into_iter().zip(listener.incoming().flatten()) {
-            let tell = tell.clone();
-            std::thread::spawn(move || play(script, stream, &tell));
+            let call_sender = call_sender.clone();
+            std::thread::spawn(move || run_script(script, stream, &call_sender));
         }
         // Later calls are taken and never answered.
         listener.incoming().flatten().for_each(std::mem::forget);
@@ -46,37 +46,37 @@
     (address, calls)
 }
 
-fn play(script: Vec<Step>, mut stream: TcpStream, tell: &Sender<String>) {
-    let mut input = BufReader::new(stream.try_clone().unwrap());
-    let request = read_http(&mut input).unwrap_or_default();
-    let _ = tell.send(request.first().cloned().unwrap_or_default());
+fn run_script(script: Vec<Step>, mut stream: TcpStream, call_sender: &Sender<String>) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let request = read_http_request(&mut reader).unwrap_or_default();
+    let _ = call_sender.send(request.first().cloned().unwrap_or_default());
     for step in script {
         match step {
-            Step::Wait(time) => std::thread::sleep(time),
-            Step::Idle(go) => {
-                while let Err(RecvTimeoutError::Timeout) = go.recv_timeout(Duration::from_millis(500)) {
+            Step::Sleep(time) => std::thread::sleep(time),
+            Step::SendEmptyLinesUntil(signal) => {
+                while let Err(RecvTimeoutError::Timeout) = signal.recv_timeout(Duration::from_millis(500)) {
                     let _ = stream.write_all(&chunk("\n"));
                 }
             }
-            Step::Say(bytes) => drop(stream.write_all(&bytes)),
-            Step::Urgent => drop(SockRef::from(&stream).send_out_of_band(b"!")),
-            Step::Await(go) => drop(go.recv_timeout(LONG)),
-            Step::Tell(done) => drop(done.send(())),
+            Step::Send(bytes) => drop(stream.write_all(&bytes)),
+            Step::SendUrgentByte => drop(SockRef::from(&stream).send_out_of_band(b"!")),
+            Step::WaitFor(signal) => drop(signal.recv_timeout(LONG_TIMEOUT)),
+            Step::Notify(sender) => drop(sender.send(())),
             Step::Close => drop(stream.shutdown(Shutdown::Both)),
         }
     }
     // Until the node ends it.
-    while read_http(&mut input).is_some() {}
-    let _ = tell.send(ENDED.into());
+    while read_http_request(&mut reader).is_some() {}
+    let _ = call_sender.send(CALL_ENDED.into());
 }
 
-fn refusal() -> Step {
-    Step::Say(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_vec())
+fn refuse_call() -> Step {
+    Step::Send(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_vec())
 }
 
 /// Settings of a fleet of six whose servers may be sent to for a second after they began to drain.
-fn fleet_of_six() -> String {
-    let settings = settings().replace(r#""balancers":1"#, r#""balancers":6"#);
+fn settings_for_six_balancers() -> String {
+    let settings = default_settings().replace(r#""balancers":1"#, r#""balancers":6"#);
     settings.replace(
         r#""askWithinUs":1000000,"drainGraceUs":500000"#,
         r#""askWithinUs":10000000,"drainGraceUs":1000000"#,
@@ -84,64 +84,71 @@
 }
 
 /// Two cache servers and an origin behind a node.
-struct Fleet {
+struct Upstreams {
     first: StandIn,
     second: StandIn,
     origin: StandIn,
 }
 
-impl Fleet {
-    fn new() -> Fleet {
-        let (first, second) = (cache(|_| Act::Say(hit("first"))), cache(|_| Act::Say(hit("second"))));
-        Fleet { first, second, origin: no_origin() }
+impl Upstreams {
+    fn new() -> Upstreams {
+        let (first, second) = (
+            cache_server(|_| ServerAction::Answer(hit("first"))),
+            cache_server(|_| ServerAction::Answer(hit("second"))),
+        );
+        Upstreams { first, second, origin: failing_origin() }
     }
 
     /// The list as all know it at first.
-    fn known(&self) -> String {
-        trio([self.first.address, self.second.address], self.origin.address)
+    fn known_list(&self) -> String {
+        list_of_two_caches([self.first.address, self.second.address], self.origin.address)
     }
 
     fn start(&self, discovery: SocketAddr) -> Node {
-        Node::start_in(discovery, &self.known(), (256, 16), "", &fleet_of_six())
+        Node::start_with_settings(discovery, &self.known_list(), (256, 16), "", &settings_for_six_balancers())
     }
 
     /// A node whose watch tells of the drain once something is sent, and the calls to its discovery from then on.
     fn start_watching(&self) -> (Node, Sender<()>, Receiver<String>) {
-        let (go, drains) = channel();
-        let watch = vec![Step::Say(watch_head()), Step::Idle(drains), Step::Say(self.drain())];
-        let (discovery, calls) = scripted(vec![watch]);
+        let (start_drain, drain_signal) = channel();
+        let watch = vec![
+            Step::Send(watch_head()),
+            Step::SendEmptyLinesUntil(drain_signal),
+            Step::Send(self.drain_update()),
+        ];
+        let (discovery, calls) = scripted_discovery(vec![watch]);
         let node = self.start(discovery);
-        calls.recv_timeout(LONG).expect("the watch");
-        (node, go, calls)
+        calls.recv_timeout(LONG_TIMEOUT).expect("the watch");
+        (node, start_drain, calls)
     }
 
     /// What changes when the first server begins to drain.
-    fn drain(&self) -> Vec<u8> {
-        chunk(&listing(6, false, &[entry("s-1", self.first.address, "std", "leaving")]))
+    fn drain_update(&self) -> Vec<u8> {
+        chunk(&server_list(6, false, &[server_entry("s-1", self.first.address, "std", "leaving")]))
     }
 
     /// The whole list once the first server drains.
-    fn draining(&self) -> String {
+    fn list_with_drain(&self) -> String {
         let entries = [
-            entry("s-1", self.first.address, "std", "leaving"),
-            entry("s-2", self.second.address, "std", "active"),
-            entry("o-1", self.origin.address, "origin", "active"),
+            server_entry("s-1", self.first.address, "std", "leaving"),
+            server_entry("s-2", self.second.address, "std", "active"),
+            server_entry("o-1", self.origin.address, "origin", "active"),
         ];
-        listing(6, true, &entries)
+        server_list(6, true, &entries)
     }
 }
 
 /// How many of many keys are still read from the first server.
-fn read_from_first(node: &Node) -> usize {
-    let mut client = node.client();
-    let mut read = |key: u32| client.ask(&get(&format!("{key:x}"), "1")).unwrap();
-    (0..40).filter(|key| read(*key) == "first").count()
+fn count_reads_from_first(node: &Node) -> usize {
+    let mut client = node.connect_client();
+    let mut read_key = |key: u32| client.request(&get(&format!("{key:x}"), "1")).unwrap();
+    (0..40).filter(|key| read_key(*key) == "first").count()
 }
 
 /// Lets requests go on until some time after an instant.
-fn serve_until(node: &Node, since: Instant, after: Duration) {
-    while since.elapsed() < after {
-        read_from_first(node);
+fn send_reads_until(node: &Node, start: Instant, duration: Duration) {
+    while start.elapsed() < duration {
+        count_reads_from_first(node);
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -158,22 +165,26 @@
 // What discovery has counts as notified 4 s after the signal, and 6 s after it was there to be asked for. One refusal
 // more at 12.4 s would have been one too many.
 #[test]
-fn a_node_that_was_turned_away_in_an_outage_learns_of_a_drain_in_time_after_a_move() {
-    let fleet = Fleet::new();
-    let outage = (0..8).map(|_| vec![refusal(), Step::Close]).collect();
-    let (old, calls) = scripted(outage);
-    let node = fleet.start(old);
+fn node_refused_in_an_outage_applies_a_drain_in_time_after_discovery_moves() {
+    let upstreams = Upstreams::new();
+    let outage = (0..8).map(|_| vec![refuse_call(), Step::Close]).collect();
+    let (old_discovery, calls) = scripted_discovery(outage);
+    let node = upstreams.start(old_discovery);
     for _ in 0..3 {
-        calls.recv_timeout(LONG).expect("a call");
+        calls.recv_timeout(LONG_TIMEOUT).expect("a call");
     }
-    assert!(read_from_first(&node) > 0, "both servers are known");
-    let crowded = || vec![Step::Wait(Duration::from_millis(900)), refusal(), Step::Close];
-    let served = vec![Step::Say([watch_head(), chunk(&fleet.draining())].concat())];
-    let (new, _calls) = scripted(vec![crowded(), crowded(), served]);
-    let signal = Instant::now();
-    node.reload(Ok(new));
-    serve_until(&node, signal, Duration::from_millis(5_050));
-    assert_eq!(read_from_first(&node), 0, "reads that go to a draining server 5.05 s after the signal");
+    assert!(count_reads_from_first(&node) > 0, "both servers are known");
+    let delayed_refusal = || vec![Step::Sleep(Duration::from_millis(900)), refuse_call(), Step::Close];
+    let answered = vec![Step::Send([watch_head(), chunk(&upstreams.list_with_drain())].concat())];
+    let (new_discovery, _calls) = scripted_discovery(vec![delayed_refusal(), delayed_refusal(), answered]);
+    let signal_sent_at = Instant::now();
+    node.reload_config(Ok(new_discovery));
+    send_reads_until(&node, signal_sent_at, Duration::from_millis(5_050));
+    assert_eq!(
+        count_reads_from_first(&node),
+        0,
+        "reads that go to a draining server 5.05 s after the signal"
+    );
 }
 
 // New configurations came 0.3 s apart, and each time the call that was under way, or the watch that stood, was broken
@@ -181,58 +192,73 @@
 // next call waited in line for up to 0.9 s or was turned away. A node's log has its answers at 89.5, 90.5 and 91.4 s,
 // each to another address, and nothing in between.
 #[test]
-fn a_watch_tells_of_a_drain_until_the_call_that_replaces_it_is_answered() {
-    let fleet = Fleet::new();
-    let (node, go, _old_calls) = fleet.start_watching();
-    let (new, new_calls) = scripted(vec![Vec::new()]);
-    node.reload(Ok(new));
-    new_calls.recv_timeout(LONG).expect("the call after the move");
-    assert!(read_from_first(&node) > 0, "it does not drain yet");
-    go.send(()).unwrap();
-    serve_until(&node, Instant::now(), Duration::from_millis(1_050));
-    assert_eq!(read_from_first(&node), 0, "reads that go to a server 1.05 s after its drain was written");
+fn watch_delivers_drains_until_its_replacement_is_answered() {
+    let upstreams = Upstreams::new();
+    let (node, start_drain, _old_calls) = upstreams.start_watching();
+    let (new_discovery, new_calls) = scripted_discovery(vec![Vec::new()]);
+    node.reload_config(Ok(new_discovery));
+    new_calls.recv_timeout(LONG_TIMEOUT).expect("the call after the move");
+    assert!(count_reads_from_first(&node) > 0, "it does not drain yet");
+    start_drain.send(()).unwrap();
+    send_reads_until(&node, Instant::now(), Duration::from_millis(1_050));
+    assert_eq!(
+        count_reads_from_first(&node),
+        0,
+        "reads that go to a server 1.05 s after its drain was written"
+    );
 }
 
 #[test]
-fn a_watch_tells_nothing_any_more_once_the_call_that_replaces_it_is_answered() {
-    let fleet = Fleet::new();
-    let (node, go, old_calls) = fleet.start_watching();
+fn watch_is_closed_and_ignored_once_its_replacement_is_answered() {
+    let upstreams = Upstreams::new();
+    let (node, start_drain, old_calls) = upstreams.start_watching();
     let entries = [
-        entry("s-1", fleet.first.address, "std", "active"),
-        entry("s-2", fleet.second.address, "std", "leaving"),
-        entry("o-1", fleet.origin.address, "origin", "active"),
+        server_entry("s-1", upstreams.first.address, "std", "active"),
+        server_entry("s-2", upstreams.second.address, "std", "leaving"),
+        server_entry("o-1", upstreams.origin.address, "origin", "active"),
     ];
-    let answer = [watch_head(), chunk(&listing(4, true, &entries))].concat();
-    let (new, _new_calls) = scripted(vec![vec![Step::Say(answer)]]);
-    node.reload(Ok(new));
-    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
+    let answer = [watch_head(), chunk(&server_list(4, true, &entries))].concat();
+    let (new_discovery, _new_calls) = scripted_discovery(vec![vec![Step::Send(answer)]]);
+    node.reload_config(Ok(new_discovery));
+    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("s-2 draining")), "the new list is in force");
-    go.send(()).unwrap();
-    assert_eq!(old_calls.recv_timeout(LONG).unwrap(), ENDED, "by the node, which has no more use for it");
-    assert_eq!(read_from_first(&node), 40, "the former discovery's view is no longer in force");
+    start_drain.send(()).unwrap();
+    assert_eq!(
+        old_calls.recv_timeout(LONG_TIMEOUT).unwrap(),
+        CALL_ENDED,
+        "by the node, which has no more use for it"
+    );
+    assert_eq!(count_reads_from_first(&node), 40, "the former discovery's view is no longer in force");
 }
 
 // What discovery writes counts as notified whether or not it arrives whole. A list that a reset or an end cut off was thrown
 // away with the drains that had come, and the next call was made after the pause that a refusal gets, 0.3 to 0.9 s, with
 // its own wait in line behind it.
 #[test]
-fn the_drains_in_a_list_that_was_cut_off_are_in_force() {
-    let fleet = Fleet::new();
-    let whole = chunk(&fleet.draining());
-    let end = whole.windows(3).position(|part| part == b"s-2").unwrap();
-    for stays in [false, true] {
-        let mut script =
-            vec![Step::Say(watch_head()), Step::Say(chunk("\n")), Step::Say(whole[..end].to_vec())];
-        if !stays {
+fn drains_in_a_truncated_list_are_applied() {
+    let upstreams = Upstreams::new();
+    let whole_list = chunk(&upstreams.list_with_drain());
+    let cut_at = whole_list.windows(3).position(|part| part == b"s-2").unwrap();
+    for stays_open in [false, true] {
+        let mut script = vec![
+            Step::Send(watch_head()),
+            Step::Send(chunk("\n")),
+            Step::Send(whole_list[..cut_at].to_vec()),
+        ];
+        if !stays_open {
             script.push(Step::Close);
         }
-        let (discovery, calls) = scripted(vec![script]);
-        let node = fleet.start(discovery);
-        calls.recv_timeout(LONG).expect("the watch");
+        let (discovery, calls) = scripted_discovery(vec![script]);
+        let node = upstreams.start(discovery);
+        calls.recv_timeout(LONG_TIMEOUT).expect("the watch");
         // The node gives a list that stands still up after 2.5 s.
-        let by = Duration::from_millis(if stays { 3_500 } else { 1_000 });
-        serve_until(&node, Instant::now(), by);
-        assert_eq!(read_from_first(&node), 0, "reads that go to a server that drains; stays open: {stays}");
+        let wait_time = Duration::from_millis(if stays_open { 3_500 } else { 1_000 });
+        send_reads_until(&node, Instant::now(), wait_time);
+        assert_eq!(
+            count_reads_from_first(&node),
+            0,
+            "reads that go to a server that drains; stays open: {stays_open}"
+        );
     }
 }
 
@@ -240,72 +266,86 @@
 // that nothing was left, and waited for news of more: the rest of a list lay unread until discovery next wrote, two
 // seconds later, or until the watch was given up as silent after 2.5 s.
 #[test]
-fn the_rest_of_a_list_behind_a_short_read_is_read_at_once() {
-    let fleet = Fleet::new();
-    let whole = chunk(&fleet.draining());
-    let (head, rest) = whole.split_at(20);
-    let (go, wait) = channel();
-    let (tell, written) = channel();
+fn rest_of_a_list_after_a_short_read_is_read_at_once() {
+    let upstreams = Upstreams::new();
+    let whole_list = chunk(&upstreams.list_with_drain());
+    let (head, rest) = whole_list.split_at(20);
+    let (send_list, list_signal) = channel();
+    let (written_sender, written) = channel();
     let script = vec![
-        Step::Say([watch_head(), chunk("\n")].concat()),
-        Step::Await(wait),
-        Step::Say(head.to_vec()),
-        Step::Urgent,
-        Step::Say(rest.to_vec()),
-        Step::Tell(tell),
+        Step::Send([watch_head(), chunk("\n")].concat()),
+        Step::WaitFor(list_signal),
+        Step::Send(head.to_vec()),
+        Step::SendUrgentByte,
+        Step::Send(rest.to_vec()),
+        Step::Notify(written_sender),
     ];
-    let (discovery, calls) = scripted(vec![script]);
-    let node = fleet.start(discovery);
-    calls.recv_timeout(LONG).expect("the watch");
-    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
+    let (discovery, calls) = scripted_discovery(vec![script]);
+    let node = upstreams.start(discovery);
+    calls.recv_timeout(LONG_TIMEOUT).expect("the watch");
+    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("answers after")));
     // All of it is there before the node comes to read.
-    node.stopped(|| {
-        go.send(()).unwrap();
-        written.recv_timeout(LONG).expect("all is written");
+    node.while_stopped(|| {
+        send_list.send(()).unwrap();
+        written.recv_timeout(LONG_TIMEOUT).expect("all is written");
     });
-    serve_until(&node, Instant::now(), Duration::from_millis(1_050));
-    assert_eq!(read_from_first(&node), 0, "reads that go to a server 1.05 s after its drain was written");
+    send_reads_until(&node, Instant::now(), Duration::from_millis(1_050));
+    assert_eq!(
+        count_reads_from_first(&node),
+        0,
+        "reads that go to a server 1.05 s after its drain was written"
+    );
 }
 
 // A configuration that could not be read in the one moment in which the signal came was given up for good. The node went
 // on calling a discovery that had moved and takes no new connections, so that it learnt of nothing any more.
 #[test]
-fn a_configuration_that_could_not_be_read_at_the_signal_is_read_again() {
-    let fleet = Fleet::new();
-    let (old, _old_calls) = scripted(vec![vec![Step::Say([watch_head(), chunk("\n")].concat())]]);
-    let node = fleet.start(old);
-    node.reload(Err(""));
-    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
+fn configuration_unreadable_at_sighup_is_read_again() {
+    let upstreams = Upstreams::new();
+    let (old_discovery, _old_calls) =
+        scripted_discovery(vec![vec![Step::Send([watch_head(), chunk("\n")].concat())]]);
+    let node = upstreams.start(old_discovery);
+    node.reload_config(Err(""));
+    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("the old configuration stays in force")));
-    let (new, new_calls) = scripted(vec![vec![Step::Say([watch_head(), chunk(&fleet.draining())].concat())]]);
-    node.configure(Ok(new));
-    new_calls.recv_timeout(LONG).expect("a call where discovery is now");
+    let (new_discovery, new_calls) = scripted_discovery(vec![vec![Step::Send(
+        [watch_head(), chunk(&upstreams.list_with_drain())].concat(),
+    )]]);
+    node.replace_config(Ok(new_discovery));
+    new_calls.recv_timeout(LONG_TIMEOUT).expect("a call where discovery is now");
 }
 
 // With a tenth of the reads and writes interrupted and a tenth ending early, 20 of 120 drains were in force over 1.05 s after
 // they were written, one of them 15.7 s. An interrupted read ended the watch, and a short one left the rest unread.
 #[test]
-fn drains_are_in_force_at_once_though_system_calls_are_interrupted_and_end_early() {
-    const SERVERS: u64 = 60;
-    let nowhere = no_origin().address;
-    let name = |server: u64| format!("s-{server}");
-    let entries: Vec<_> = (0..SERVERS).map(|server| entry(&name(server), nowhere, "std", "active")).collect();
+fn drains_are_applied_at_once_despite_interrupted_and_short_system_calls() {
+    const SERVER_COUNT: u64 = 60;
+    let failing_address = failing_origin().address;
+    let server_name = |server: u64| format!("s-{server}");
+    let entries: Vec<_> = (0..SERVER_COUNT)
+        .map(|server| server_entry(&server_name(server), failing_address, "std", "active"))
+        .collect();
     for seed in 1..=3 {
-        let (discovery, say, calls) = discovery(vec![[watch_head(), chunk("\n")].concat()]);
-        let before = failing_system_calls(seed);
-        let node =
-            Node::start_in(discovery, &listing(1, true, &entries), (256, 16), &before, &fleet_of_six());
-        calls.recv_timeout(LONG).expect("the watch");
-        for server in 0..SERVERS {
-            let drains = entry(&name(server), nowhere, "std", "leaving");
-            say.send(chunk(&listing(2 + server, false, &[drains]))).unwrap();
-            let written = Instant::now();
-            let in_force = format!("{} draining", name(server));
-            let lines = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
-            assert!(lines.into_iter().any(|line| line.contains(&in_force)), "{in_force} at all");
-            let late = written.elapsed();
-            assert!(late < Duration::from_millis(1_050), "{late:?} until {in_force}, seed {seed}");
+        let (discovery, updates, calls) = discovery_server(vec![[watch_head(), chunk("\n")].concat()]);
+        let shell_prefix = faulty_system_calls(seed);
+        let node = Node::start_with_settings(
+            discovery,
+            &server_list(1, true, &entries),
+            (256, 16),
+            &shell_prefix,
+            &settings_for_six_balancers(),
+        );
+        calls.recv_timeout(LONG_TIMEOUT).expect("the watch");
+        for server in 0..SERVER_COUNT {
+            let draining_entry = server_entry(&server_name(server), failing_address, "std", "leaving");
+            updates.send(chunk(&server_list(2 + server, false, &[draining_entry]))).unwrap();
+            let sent_at = Instant::now();
+            let log_text = format!("{} draining", server_name(server));
+            let lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
+            assert!(lines.into_iter().any(|line| line.contains(&log_text)), "{log_text} at all");
+            let delay = sent_at.elapsed();
+            assert!(delay < Duration::from_millis(1_050), "{delay:?} until {log_text}, seed {seed}");
         }
         assert!(calls.try_recv().is_err(), "all on one watch");
     }
@@ -314,15 +354,15 @@
 // A server that was listed at another address, while a connection to its former one was still coming up, was written to at
 // the former address, where another process or none may be by now.
 #[test]
-fn a_server_that_moves_while_a_connection_to_it_comes_up_gets_nothing_written_at_its_former_address() {
-    let crowded = Crowded::new();
-    let second = cache(|_| Act::Say(hit("second")));
-    let (node, say, mut client) = connecting(&crowded);
-    let moved = entry("s-1", second.address, "std", "active");
-    say.send(chunk(&listing(6, false, &[moved]))).unwrap();
-    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
+fn server_that_moves_while_a_connection_is_being_set_up_gets_no_request_at_its_old_address() {
+    let full_backlog_server = FullBacklogServer::new();
+    let second = cache_server(|_| ServerAction::Answer(hit("second")));
+    let (node, updates, mut client) = start_connecting_node(&full_backlog_server);
+    let moved_entry = server_entry("s-1", second.address, "std", "active");
+    updates.send(chunk(&server_list(6, false, &[moved_entry]))).unwrap();
+    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("s-1 moved")), "the list is in force");
-    let first = crowded.open(|_| Act::Say(hit("first")));
-    assert_eq!(client.answer().unwrap(), "second", "the connection is up, and its server is elsewhere");
-    assert!(first.seen.try_iter().all(|seen| seen.words.is_empty()), "nothing was written to it");
+    let first = full_backlog_server.start_accepting(|_| ServerAction::Answer(hit("first")));
+    assert_eq!(client.read_answer().unwrap(), "second", "the connection is up, and its server is elsewhere");
+    assert!(first.events.try_iter().all(|event| event.parts.is_empty()), "nothing was written to it");
 }
--- a/tests/node/stand_ins.rs
+++ b/tests/node/stand_ins.rs
@@ -12,20 +12,20 @@
 use socket2::{Domain, Socket, Type};
 
 /// Longer than anything here takes, on the busiest machine.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a request.
-pub enum Act {
+pub enum ServerAction {
     /// Answers with these bytes.
-    Say(Vec<u8>),
+    Answer(Vec<u8>),
     /// Answers with these bytes once something comes through the channel.
-    SayAfter(Receiver<()>, Vec<u8>),
+    AnswerAfter(Receiver<()>, Vec<u8>),
     /// Answers with these bytes once something comes through the channel, and ends the connection.
-    SayAfterAndClose(Receiver<()>, Vec<u8>),
+    AnswerAfterThenClose(Receiver<()>, Vec<u8>),
     /// Answers with these bytes and ends the connection.
-    SayAndClose(Vec<u8>),
+    AnswerThenClose(Vec<u8>),
     /// Answers with these bytes, and once something comes through the channel with the others; then says so.
-    SayMore(Vec<u8>, Arc<Mutex<Receiver<()>>>, Vec<u8>, Sender<()>),
+    AnswerThenSendMore(Vec<u8>, Arc<Mutex<Receiver<()>>>, Vec<u8>, Sender<()>),
     /// Ends the connection.
     Close,
     /// Says nothing, and keeps the connection.
@@ -34,192 +34,197 @@
 
 /// A request that reached a stand-in: its words, and the number of its connection; without words, the end
 /// of that connection.
-pub struct Seen {
-    pub words: Vec<String>,
-    pub conn: u32,
+pub struct ServerEvent {
+    pub parts: Vec<String>,
+    pub connection: u32,
 }
 
 pub struct StandIn {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<ServerEvent>,
 }
 
 impl StandIn {
     /// The next request that reaches it.
-    pub fn next(&self) -> Seen {
-        std::iter::from_fn(|| self.seen.recv_timeout(LONG).ok())
-            .find(|seen| !seen.words.is_empty())
+    pub fn next_request(&self) -> ServerEvent {
+        std::iter::from_fn(|| self.events.recv_timeout(LONG_TIMEOUT).ok())
+            .find(|event| !event.parts.is_empty())
             .expect("a request")
     }
 
     /// Waits until a connection has ended.
-    pub fn ended(&self) {
-        let end = std::iter::from_fn(|| self.seen.recv_timeout(LONG).ok()).find(|seen| seen.words.is_empty());
+    pub fn wait_for_connection_end(&self) {
+        let end = std::iter::from_fn(|| self.events.recv_timeout(LONG_TIMEOUT).ok())
+            .find(|event| event.parts.is_empty());
         assert!(end.is_some(), "no connection has ended");
     }
 }
 
-fn serve(
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: impl FnMut(&[String]) -> Act + Send + Clone + 'static,
+fn start_stand_in(
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
 ) -> StandIn {
-    serve_from(TcpListener::bind("127.0.0.1:0").unwrap(), Vec::new(), read, act)
+    start_stand_in_on(TcpListener::bind("127.0.0.1:0").unwrap(), Vec::new(), read_request, respond)
 }
 
 /// A cache server whose queue of newcomers is full: connections to it come up once it is opened, and not before.
-pub struct Crowded {
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: Socket,
-    fill: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl Crowded {
-    pub fn new() -> Crowded {
+impl FullBacklogServer {
+    pub fn new() -> FullBacklogServer {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        let fill: Vec<_> = std::iter::from_fn(connect).take(8).collect();
-        assert!(!fill.is_empty() && fill.len() < 8, "the queue is full");
-        Crowded { address, listener, fill }
+        let queued: Vec<_> = std::iter::from_fn(connect).take(8).collect();
+        assert!(!queued.is_empty() && queued.len() < 8, "the queue is full");
+        FullBacklogServer { address, listener, queued }
     }
 
     /// Takes those that fill the queue and waits for the next, whose greeting the network sends again after a
     /// second; from then on it is like any other.
-    pub fn open(self, act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
+    pub fn start_accepting(
+        self,
+        respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
+    ) -> StandIn {
         // A node that has given the connection up must fail the test and not hang it.
-        self.listener.set_read_timeout(Some(3 * LONG)).unwrap();
+        self.listener.set_read_timeout(Some(3 * LONG_TIMEOUT)).unwrap();
         let accept = || TcpStream::from(self.listener.accept().expect("a connection").0);
-        let taken: Vec<_> = (0..=self.fill.len()).map(|_| accept()).collect();
+        let accepted: Vec<_> = (0..=self.queued.len()).map(|_| accept()).collect();
         self.listener.set_read_timeout(None).unwrap();
         self.listener.listen(64).unwrap();
-        serve_from(self.listener.into(), taken, read_command, act)
+        start_stand_in_on(self.listener.into(), accepted, read_command, respond)
     }
 }
 
 /// Settings under which a node waits for a connection for as long as such a server lets it: on a busy machine
 /// the greeting that comes through may be the one after 15 s.
-pub fn patient() -> String {
-    let patient = settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
-    patient.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
+pub fn long_timeout_settings() -> String {
+    let patient_settings =
+        default_settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
+    patient_settings.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
 }
 
 /// A read that is asked for for as long as such settings allow.
-pub fn patient_get(key: &str, id: &str) -> Vec<u8> {
+pub fn long_deadline_get(key: &str, id: &str) -> Vec<u8> {
     command(&["OBJ.GET", key, id, "c=read,t=acme,d=60000"])
 }
 
-fn serve_from(
+fn start_stand_in_on(
     listener: TcpListener,
-    taken: Vec<TcpStream>,
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: impl FnMut(&[String]) -> Act + Send + Clone + 'static,
+    accepted: Vec<TcpStream>,
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
 ) -> StandIn {
     let address = listener.local_addr().unwrap();
-    let (tell, seen) = channel();
+    let (sender, events) = channel();
     std::thread::spawn(move || {
-        for (conn, stream) in taken.into_iter().chain(listener.incoming().flatten()).enumerate() {
-            let (mut act, tell) = (act.clone(), tell.clone());
+        for (connection, stream) in accepted.into_iter().chain(listener.incoming().flatten()).enumerate() {
+            let (mut respond, sender) = (respond.clone(), sender.clone());
             std::thread::spawn(move || {
-                connection(stream, conn as u32, read, &mut act, &tell);
-                let _ = tell.send(Seen { words: Vec::new(), conn: conn as u32 });
+                serve_connection(stream, connection as u32, read_request, &mut respond, &sender);
+                let _ = sender.send(ServerEvent { parts: Vec::new(), connection: connection as u32 });
             });
         }
     });
-    StandIn { address, seen }
+    StandIn { address, events }
 }
 
-fn connection(
-    stream: TcpStream,
-    conn: u32,
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: &mut impl FnMut(&[String]) -> Act,
-    tell: &Sender<Seen>,
+fn serve_connection(
+    connection_stream: TcpStream,
+    connection: u32,
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: &mut impl FnMut(&[String]) -> ServerAction,
+    sender: &Sender<ServerEvent>,
 ) {
-    let Ok(mut out) = stream.try_clone() else { return };
-    let mut input = BufReader::new(stream);
-    while let Some(words) = read(&mut input) {
-        let does = act(&words);
-        let _ = tell.send(Seen { words, conn });
-        let (said, close) = match does {
-            Act::Say(bytes) => (bytes, false),
-            Act::SayAfter(wait, bytes) => {
-                let _ = wait.recv_timeout(LONG);
-                (bytes, false)
+    let Ok(mut writer) = connection_stream.try_clone() else { return };
+    let mut reader = BufReader::new(connection_stream);
+    while let Some(parts) = read_request(&mut reader) {
+        let action = respond(&parts);
+        let _ = sender.send(ServerEvent { parts, connection });
+        let (answer, close_after) = match action {
+            ServerAction::Answer(answer_bytes) => (answer_bytes, false),
+            ServerAction::AnswerAfter(release_signal, answer_bytes) => {
+                let _ = release_signal.recv_timeout(LONG_TIMEOUT);
+                (answer_bytes, false)
             }
-            Act::SayAfterAndClose(wait, bytes) => {
-                let _ = wait.recv_timeout(LONG);
-                (bytes, true)
+            ServerAction::AnswerAfterThenClose(release_signal, answer_bytes) => {
+                let _ = release_signal.recv_timeout(LONG_TIMEOUT);
+                (answer_bytes, true)
             }
-            Act::SayMore(bytes, wait, more, said) => {
-                if out.write_all(&bytes).is_err() {
+            ServerAction::AnswerThenSendMore(answer_bytes, release_signal, more_bytes, answer) => {
+                if writer.write_all(&answer_bytes).is_err() {
                     return;
                 }
-                let _ = wait.lock().unwrap().recv_timeout(LONG);
-                let _ = out.write_all(&more);
-                let _ = said.send(());
+                let _ = release_signal.lock().unwrap().recv_timeout(LONG_TIMEOUT);
+                let _ = writer.write_all(&more_bytes);
+                let _ = answer.send(());
                 continue;
             }
-            Act::SayAndClose(bytes) => (bytes, true),
-            Act::Close => (Vec::new(), true),
-            Act::Hang => (Vec::new(), false),
+            ServerAction::AnswerThenClose(answer_bytes) => (answer_bytes, true),
+            ServerAction::Close => (Vec::new(), true),
+            ServerAction::Hang => (Vec::new(), false),
         };
-        if out.write_all(&said).is_err() || close {
+        if writer.write_all(&answer).is_err() || close_after {
             // Shut down, not only dropped: a process that another test is just starting may hold it too.
-            let _ = out.shutdown(Shutdown::Both);
+            let _ = writer.shutdown(Shutdown::Both);
             return;
         }
     }
 }
 
 /// Reads a command, an array of bulk strings.
-fn read_command(input: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let count: usize = line(input)?.strip_prefix('*')?.parse().ok()?;
-    (0..count).map(|_| bulk(input)).collect()
+fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+    let count: usize = read_line(reader)?.strip_prefix('*')?.parse().ok()?;
+    (0..count).map(|_| read_bulk_string(reader)).collect()
 }
 
-fn bulk(input: &mut BufReader<TcpStream>) -> Option<String> {
-    let size: usize = line(input)?.strip_prefix('$')?.parse().ok()?;
+fn read_bulk_string(reader: &mut BufReader<TcpStream>) -> Option<String> {
+    let size: usize = read_line(reader)?.strip_prefix('$')?.parse().ok()?;
     let mut bytes = vec![0; size + 2];
-    input.read_exact(&mut bytes).ok()?;
+    reader.read_exact(&mut bytes).ok()?;
     Some(String::from_utf8_lossy(&bytes[..size]).into_owned())
 }
 
-fn line(input: &mut BufReader<TcpStream>) -> Option<String> {
+fn read_line(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
-    let count = input.read_line(&mut text).ok()?;
+    let count = reader.read_line(&mut text).ok()?;
     (count > 0).then(|| text.trim_end().to_string())
 }
 
 /// Reads an HTTP request: its first line, its headers, its body.
-pub fn read_http(input: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let mut words = vec![line(input)?];
-    let mut length = 0;
+pub fn read_http_request(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+    let mut parts = vec![read_line(reader)?];
+    let mut body_length = 0;
     loop {
-        let header = line(input)?;
+        let header = read_line(reader)?;
         if header.is_empty() {
             break;
         }
         if let Some(value) = header.strip_prefix("Content-Length: ") {
-            length = value.parse().ok()?;
+            body_length = value.parse().ok()?;
         }
-        words.push(header);
+        parts.push(header);
     }
-    let mut body = vec![0; length];
-    input.read_exact(&mut body).ok()?;
-    words.push(String::from_utf8_lossy(&body).into_owned());
-    Some(words)
+    let mut body = vec![0; body_length];
+    reader.read_exact(&mut body).ok()?;
+    parts.push(String::from_utf8_lossy(&body).into_owned());
+    Some(parts)
 }
 
 /// A cache server that does with each command what it is told.
-pub fn cache(act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
-    serve(read_command, act)
+pub fn cache_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
+    start_stand_in(read_command, respond)
 }
 
 /// An origin that does with each request what it is told.
-pub fn origin(act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
-    serve(read_http, act)
+pub fn origin_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
+    start_stand_in(read_http_request, respond)
 }
 
 pub fn hit(value: &str) -> Vec<u8> {
@@ -230,41 +235,41 @@
     b"*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_vec()
 }
 
-pub fn http(status: u16, headers: &str, body: &str) -> Vec<u8> {
+pub fn http_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// Discovery: each call is answered with the next of these scripts, the last one stays open and silent but
 /// for what comes through the channel.
-pub fn discovery(scripts: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
+pub fn discovery_server(scripts: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (say, said) = channel::<Vec<u8>>();
-    let (tell, calls) = channel();
+    let (updates, update_receiver) = channel::<Vec<u8>>();
+    let (call_sender, calls) = channel();
     std::thread::spawn(move || {
         let count = scripts.len();
         for (number, (script, stream)) in scripts.into_iter().zip(listener.incoming().flatten()).enumerate() {
-            let mut out = stream.try_clone().unwrap();
-            let mut input = BufReader::new(stream);
-            let request = read_http(&mut input).unwrap_or_default();
-            let _ = tell.send(request.first().cloned().unwrap_or_default());
-            let _ = out.write_all(&script);
+            let mut writer = stream.try_clone().unwrap();
+            let mut reader = BufReader::new(stream);
+            let request = read_http_request(&mut reader).unwrap_or_default();
+            let _ = call_sender.send(request.first().cloned().unwrap_or_default());
+            let _ = writer.write_all(&script);
             if number + 1 < count {
                 continue;
             }
             loop {
-                let bytes = match said.recv_timeout(Duration::from_secs(1)) {
+                let bytes = match update_receiver.recv_timeout(Duration::from_secs(1)) {
                     Ok(bytes) => bytes,
                     Err(std::sync::mpsc::RecvTimeoutError::Timeout) => chunk("\n"),
                     Err(_) => return,
                 };
-                if out.write_all(&bytes).is_err() {
+                if writer.write_all(&bytes).is_err() {
                     return;
                 }
             }
         }
     });
-    (address, say, calls)
+    (address, updates, calls)
 }
 
 /// The head of a watch.
@@ -277,25 +282,25 @@
 }
 
 /// A line of the list.
-pub fn entry(name: &str, address: SocketAddr, kind: &str, status: &str) -> String {
+pub fn server_entry(name: &str, address: SocketAddr, machine_type: &str, status: &str) -> String {
     format!(
-        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"{machine_type}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-pub fn listing(index: u64, snapshot: bool, entries: &[String]) -> String {
+pub fn server_list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(",")) + "\n"
 }
 
 /// A shell command before a node after which some of its reads and writes are interrupted or end early.
-pub fn failing_system_calls(seed: u32) -> String {
-    static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    let library = BUILT.get_or_init(|| {
+pub fn faulty_system_calls(seed: u32) -> String {
+    static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
+    let library = LIBRARY.get_or_init(|| {
         let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("system_calls.so");
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/node/system_calls.c");
-        let built =
+        let compiler_status =
             Command::new("cc").args(["-shared", "-fPIC", "-o"]).arg(&library).args([source, "-ldl"]).status();
-        assert!(built.expect("the C compiler that also links Rust").success());
+        assert!(compiler_status.expect("the C compiler that also links Rust").success());
         library
     });
     format!("export SYSTEM_CALLS_SEED={seed} LD_PRELOAD='{}';", library.display())
@@ -306,24 +311,24 @@
     child: Child,
     pub address: SocketAddr,
     pub log: Receiver<String>,
-    path: std::path::PathBuf,
-    text: String,
+    config_path: std::path::PathBuf,
+    config_text: String,
     discovery: SocketAddr,
-    before: String,
+    shell_prefix: String,
 }
 
-static FILES: AtomicU32 = AtomicU32::new(0);
+static NEXT_CONFIG_FILE: AtomicU32 = AtomicU32::new(0);
 
 /// Writes a file of its own for each node.
-pub fn config_file(text: &str) -> std::path::PathBuf {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let name = format!("pondproxy-node-test-{}-{number}.json", std::process::id());
-    let path = std::env::temp_dir().join(name);
+pub fn write_config_file(text: &str) -> std::path::PathBuf {
+    let number = NEXT_CONFIG_FILE.fetch_add(1, Ordering::Relaxed);
+    let file_name = format!("pondproxy-node-test-{}-{number}.json", std::process::id());
+    let path = std::env::temp_dir().join(file_name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn settings() -> &'static str {
+pub fn default_settings() -> &'static str {
     r#"{"balancers":1,"me":0,"zone":0,"zones":["a"],"machineTypes":["std","origin"],"discovery":"ask",
     "classes":[{"name":"read","goalTimeUs":250000,"deadlineUs":8000000,"effect":"pure","lateValue":0.5,"gain":1.0},
       {"name":"put","goalTimeUs":250000,"deadlineUs":8000000,"effect":"side_effect","lateValue":0.5,"gain":1.0}],
@@ -332,89 +337,99 @@
     "guarantees":{"askWithinUs":1000000,"drainGraceUs":500000},"periodUs":2000}"#
 }
 
-fn launch(
-    path: &std::path::Path,
+fn spawn_node(
+    config_path: &std::path::Path,
     (listen, discovery): (SocketAddr, SocketAddr),
-    before: &str,
+    shell_prefix: &str,
 ) -> (Child, SocketAddr, Receiver<String>) {
     let mut child = Command::new("/bin/sh")
         .arg("-c")
-        .arg(format!("{before} exec \"{}\"", env!("CARGO_BIN_EXE_pondproxy-node")))
-        .env("ROUTER_CONFIG", path)
+        .arg(format!("{shell_prefix} exec \"{}\"", env!("CARGO_BIN_EXE_pondproxy-node")))
+        .env("ROUTER_CONFIG", config_path)
         .env("ROUTER_LISTEN", listen.to_string())
         .env("ROUTER_DISCOVERY", discovery.to_string())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let first = lines.next().expect("a first line in the log");
-    let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address in the log");
-    let (tell, log) = channel();
-    std::thread::spawn(move || lines.for_each(|line| drop(tell.send(line))));
+    let first_line = lines.next().expect("a first line in the log");
+    let address = first_line
+        .rsplit(' ')
+        .next()
+        .and_then(|address| address.parse().ok())
+        .expect("an address in the log");
+    let (log_sender, log) = channel();
+    std::thread::spawn(move || lines.for_each(|line| drop(log_sender.send(line))));
     (child, address, log)
 }
 
 impl Node {
-    pub fn start(discovery: SocketAddr, known: &str) -> Node {
-        Node::start_with(discovery, known, 256, "")
+    pub fn start(discovery: SocketAddr, known_list: &str) -> Node {
+        Node::start_with_limits(discovery, known_list, 256, "")
     }
 
     /// Starts a node behind a shell command, such as a limit.
-    pub fn start_with(discovery: SocketAddr, known: &str, sockets: usize, before: &str) -> Node {
-        Node::start_in(discovery, known, (sockets, 16), before, settings())
+    pub fn start_with_limits(
+        discovery: SocketAddr,
+        known_list: &str,
+        sockets: usize,
+        shell_prefix: &str,
+    ) -> Node {
+        Node::start_with_settings(discovery, known_list, (sockets, 16), shell_prefix, default_settings())
     }
 
     /// Starts a node where lists are pushed.
-    pub fn start_pushed(discovery: SocketAddr, known: &str) -> Node {
-        let settings = settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#);
-        Node::start_in(discovery, known, (256, 16), "", &settings)
+    pub fn start_with_pushed_lists(discovery: SocketAddr, known_list: &str) -> Node {
+        let settings = default_settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#);
+        Node::start_with_settings(discovery, known_list, (256, 16), "", &settings)
     }
 
-    pub fn start_in(
+    pub fn start_with_settings(
         discovery: SocketAddr,
-        known: &str,
+        known_list: &str,
         (sockets, memory_mb): (usize, usize),
-        before: &str,
+        shell_prefix: &str,
         settings: &str,
     ) -> Node {
-        let text = format!(
-            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets},"memory_mb":{memory_mb}}},"known":{known},"settings":{}}}"#,
+        let config_text = format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets},"memory_mb":{memory_mb}}},"known":{known_list},"settings":{}}}"#,
             settings
         );
-        let path = config_file(&text);
+        let config_path = write_config_file(&config_text);
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (child, address, log) = launch(&path, (listen, discovery), before);
-        Node { child, address, log, path, text, discovery, before: before.into() }
+        let (child, address, log) = spawn_node(&config_path, (listen, discovery), shell_prefix);
+        Node { child, address, log, config_path, config_text, discovery, shell_prefix: shell_prefix.into() }
     }
 
     /// Kills it and starts it again under its address.
-    pub fn restart(&mut self) {
+    pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        (self.child, _, self.log) = launch(&self.path, (self.address, self.discovery), &self.before);
+        (self.child, _, self.log) =
+            spawn_node(&self.config_path, (self.address, self.discovery), &self.shell_prefix);
     }
 
     /// Replaces the configuration by one that names another discovery, or by any text, and sends SIGHUP.
-    pub fn reload(&self, with: Result<SocketAddr, &str>) {
-        self.configure(with);
-        self.kill("HUP");
+    pub fn reload_config(&self, discovery_or_text: Result<SocketAddr, &str>) {
+        self.replace_config(discovery_or_text);
+        self.send_signal("HUP");
     }
 
     /// Replaces the configuration by one that names another discovery, or by any text, and sends no signal.
-    pub fn configure(&self, with: Result<SocketAddr, &str>) {
-        let text = match with {
-            Ok(address) => self.text.replace(&self.discovery.to_string(), &address.to_string()),
+    pub fn replace_config(&self, discovery_or_text: Result<SocketAddr, &str>) {
+        let text = match discovery_or_text {
+            Ok(discovery) => self.config_text.replace(&self.discovery.to_string(), &discovery.to_string()),
             Err(text) => text.into(),
         };
-        let written = self.path.with_extension("new");
-        std::fs::write(&written, text).unwrap();
-        std::fs::rename(&written, &self.path).unwrap();
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, text).unwrap();
+        std::fs::rename(&new_path, &self.config_path).unwrap();
     }
 
-    pub fn client(&self) -> Client {
+    pub fn connect_client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        Client { out: stream.try_clone().unwrap(), input: BufReader::new(stream) }
+        stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
+        Client { stream: stream.try_clone().unwrap(), reader: BufReader::new(stream) }
     }
 
     /// The memory that it holds, in KiB.
@@ -425,28 +440,28 @@
     }
 
     /// How many descriptors it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Has it stand still while something is done: what reaches its machine meanwhile waits there.
-    pub fn stopped<T>(&self, does: impl FnOnce() -> T) -> T {
-        self.kill("STOP");
-        let done = does();
-        self.kill("CONT");
-        done
+    pub fn while_stopped<T>(&self, action: impl FnOnce() -> T) -> T {
+        self.send_signal("STOP");
+        let result = action();
+        self.send_signal("CONT");
+        result
     }
 
     pub fn terminate(&self) {
-        self.kill("TERM");
+        self.send_signal("TERM");
     }
 
-    fn kill(&self, signal: &str) {
-        let kill = format!("kill -{signal} {}", self.child.id());
-        assert!(Command::new("/bin/sh").arg("-c").arg(kill).status().unwrap().success());
+    fn send_signal(&self, signal: &str) {
+        let kill_command = format!("kill -{signal} {}", self.child.id());
+        assert!(Command::new("/bin/sh").arg("-c").arg(kill_command).status().unwrap().success());
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 }
@@ -455,20 +470,21 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
 /// A client of the node.
 pub struct Client {
-    pub out: TcpStream,
-    pub input: BufReader<TcpStream>,
+    pub stream: TcpStream,
+    pub reader: BufReader<TcpStream>,
 }
 
-pub fn command(words: &[&str]) -> Vec<u8> {
-    let words = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect::<String>();
-    let count = words.matches("\r\n$").count() + 1;
-    format!("*{count}\r\n{words}").into_bytes()
+pub fn command(arguments: &[&str]) -> Vec<u8> {
+    let arguments =
+        arguments.iter().map(|argument| format!("${}\r\n{argument}\r\n", argument.len())).collect::<String>();
+    let count = arguments.matches("\r\n$").count() + 1;
+    format!("*{count}\r\n{arguments}").into_bytes()
 }
 
 pub fn get(key: &str, id: &str) -> Vec<u8> {
@@ -481,21 +497,21 @@
 
 impl Client {
     pub fn send(&mut self, bytes: &[u8]) {
-        self.out.write_all(bytes).unwrap();
+        self.stream.write_all(bytes).unwrap();
     }
 
     /// The next answer: a line as it is, a bulk string as its content; `None` at the connection's end.
-    pub fn answer(&mut self) -> Option<String> {
-        let first = line(&mut self.input)?;
-        let Some(size) = first.strip_prefix('$') else { return Some(first) };
+    pub fn read_answer(&mut self) -> Option<String> {
+        let first_line = read_line(&mut self.reader)?;
+        let Some(size) = first_line.strip_prefix('$') else { return Some(first_line) };
         let mut bytes = vec![0; size.parse::<usize>().unwrap() + 2];
-        self.input.read_exact(&mut bytes).ok()?;
+        self.reader.read_exact(&mut bytes).ok()?;
         bytes.truncate(bytes.len() - 2);
         Some(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    pub fn ask(&mut self, bytes: &[u8]) -> Option<String> {
+    pub fn request(&mut self, bytes: &[u8]) -> Option<String> {
         self.send(bytes);
-        self.answer()
+        self.read_answer()
     }
 }
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -3,47 +3,56 @@
 use std::time::Duration;
 
 use crate::stand_ins::*;
-use crate::{no_origin, pair, quiet};
+use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
 // An interrupted read or write was taken for the end of a connection, and a short read for all there was: found beside the
 // watch on discovery, where the same kept the news of drains back. Of 55 requests 30 had no answer, as each of 20 clients
 // lost its connection, with a tenth of the reads and writes interrupted and a tenth ending early.
 #[test]
-fn requests_and_answers_are_whole_though_system_calls_are_interrupted_and_end_early() {
+fn requests_and_answers_are_complete_despite_interrupted_and_short_system_calls() {
     for seed in 1..=3 {
-        let long = "v".repeat(3_000);
-        let (value, kept) = (long.clone(), long.clone());
-        let cache = cache(move |words| Act::Say(if words[1] == "aa" { hit(&kept) } else { miss() }));
-        let origin = origin(move |_| Act::Say(http(200, "", &value)));
-        let (discovery, _say, _calls) = quiet();
-        let before = failing_system_calls(seed);
-        let known = pair(cache.address, origin.address);
-        let node = Node::start_in(discovery, &known, (256, 16), &before, settings());
+        let long_value = "v".repeat(3_000);
+        let (origin_value, cached_value) = (long_value.clone(), long_value.clone());
+        let cache = cache_server(move |parts| {
+            ServerAction::Answer(if parts[1] == "aa" { hit(&cached_value) } else { miss() })
+        });
+        let origin = origin_server(move |_| ServerAction::Answer(http_response(200, "", &origin_value)));
+        let (discovery, _updates, _calls) = idle_discovery();
+        let shell_prefix = faulty_system_calls(seed);
+        let known_list = list_of_one_cache(cache.address, origin.address);
+        let node =
+            Node::start_with_settings(discovery, &known_list, (256, 16), &shell_prefix, default_settings());
         for id in 0..10 {
-            let mut client = node.client();
-            for (part, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
-                let answer = client.ask(&get(key, &format!("{id}-{part}")));
-                assert_eq!(answer.as_ref(), Some(&long), "request {part} of client {id}, seed {seed}");
+            let mut client = node.connect_client();
+            for (request, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
+                let answer = client.request(&get(key, &format!("{id}-{request}")));
+                assert_eq!(
+                    answer.as_ref(),
+                    Some(&long_value),
+                    "request {request} of client {id}, seed {seed}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn a_pipeline_of_writes_is_whole_though_system_calls_are_interrupted_and_end_early() {
+fn pipelined_writes_are_complete_despite_interrupted_and_short_system_calls() {
     for seed in 1..=3 {
-        let origin = origin(|words| Act::Say(http(200, "", words.last().unwrap())));
-        let (discovery, _say, _calls) = quiet();
-        let before = failing_system_calls(seed);
-        let known = pair(no_origin().address, origin.address);
-        let node = Node::start_in(discovery, &known, (256, 16), &before, settings());
-        let mut client = node.client();
-        client.out.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        let origin =
+            origin_server(|parts| ServerAction::Answer(http_response(200, "", parts.last().unwrap())));
+        let (discovery, _updates, _calls) = idle_discovery();
+        let shell_prefix = faulty_system_calls(seed);
+        let known_list = list_of_one_cache(failing_origin().address, origin.address);
+        let node =
+            Node::start_with_settings(discovery, &known_list, (256, 16), &shell_prefix, default_settings());
+        let mut client = node.connect_client();
+        client.stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let value = |id: usize| format!("{id}{}", "v".repeat(2_000));
-        let all: Vec<_> = (0..8).map(|id| put("bb", &id.to_string(), &value(id))).collect();
-        client.send(&all.concat());
+        let writes: Vec<_> = (0..8).map(|id| put("bb", &id.to_string(), &value(id))).collect();
+        client.send(&writes.concat());
         for id in 0..8 {
-            assert_eq!(client.answer(), Some(value(id)), "write {id}, seed {seed}");
+            assert_eq!(client.read_answer(), Some(value(id)), "write {id}, seed {seed}");
         }
     }
 }
