--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -83,9 +83,9 @@
         Disconnect::Reset => {
             SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
             drop(client);
-            let mut other = node.connect_client();
+            let mut other_client = node.connect_client();
             let id_is_free =
-                || other.request(&get("free", id)).unwrap() != "-ERR a request with this id is open";
+                || other_client.request(&get("free", id)).unwrap() != "-ERR a request with this id is open";
             assert!(
                 std::iter::repeat_with(id_is_free).take(200_000).any(|id_is_free| id_is_free),
                 "its id is free again"
--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -295,14 +295,14 @@
 
 /// Clients with a request open on each.
 pub fn connect_busy_clients(node: &Node, count: usize) -> Vec<Client> {
-    let connect_busy = |id| {
+    let connect_with_open_request = |id| {
         let mut client = node.connect_client();
         let request = get(&format!("k{id}"), &format!("{id}"));
         // The node has read what stands behind this, too.
         assert_eq!(client.request(&[command(&["PING"]), request].concat()).unwrap(), "+PONG");
         client
     };
-    (0..count).map(connect_busy).collect()
+    (0..count).map(connect_with_open_request).collect()
 }
 
 #[test]
@@ -345,8 +345,8 @@
     assert_eq!((first_peer.read_answer().as_deref(), first_peer.read_answer()), (Some("-BUSY"), None));
     assert_eq!(node.connect_client().request(&get("bb", "3")).unwrap(), "bb");
     let mut events =
-        std::iter::from_fn(|| cache.events.try_recv().ok()).filter(|events| !events.parts.is_empty());
-    assert!(events.all(|events| events.parts[1] != "crossing"));
+        std::iter::from_fn(|| cache.events.try_recv().ok()).filter(|event| !event.parts.is_empty());
+    assert!(events.all(|event| event.parts[1] != "crossing"));
 }
 
 #[test]
@@ -464,8 +464,8 @@
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             if id % (sockets / 4) == 0 {
                 // A call that waits in line, so that all that it replaces stay open.
-                let (next, calls) = scripted_discovery(vec![Vec::new()]);
-                node.reload_config(Ok(next));
+                let (next_discovery, calls) = scripted_discovery(vec![Vec::new()]);
+                node.reload_config(Ok(next_discovery));
                 calls.recv_timeout(LONG_TIMEOUT).expect("a call after a move");
             }
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -8,7 +8,7 @@
 use socket2::SockRef;
 
 use crate::stand_ins::*;
-use crate::{failing_origin, list_of_two_caches, start_connecting_node};
+use crate::{failing_origin, list_of_two_caches, start_node_connecting_to};
 
 /// What discovery does on a connection, one step after the other. The connection stays open behind the last.
 pub enum Step {
@@ -357,7 +357,7 @@
 fn server_that_moves_while_a_connection_is_being_set_up_gets_no_request_at_its_old_address() {
     let full_backlog_server = FullBacklogServer::new();
     let second = cache_server(|_| ServerAction::Answer(hit("second")));
-    let (node, updates, mut client) = start_connecting_node(&full_backlog_server);
+    let (node, updates, mut client) = start_node_connecting_to(&full_backlog_server);
     let moved_entry = server_entry("s-1", second.address, "std", "active");
     updates.send(chunk(&server_list(6, false, &[moved_entry]))).unwrap();
     let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -121,7 +121,7 @@
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
     let node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
-    let mut other = node.connect_client();
+    let mut other_client = node.connect_client();
     let many_empty_commands = b"*0\r\n".repeat(20);
     for malformed in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -137,14 +137,14 @@
         assert_eq!(client.read_answer().unwrap(), "aa", "what came before it is served");
         assert!(client.read_answer().unwrap().starts_with("-ERR"), "{malformed:?}");
         assert_eq!(client.read_answer(), None, "closed after {malformed:?}");
-        assert_eq!(other.request(&get("bb", "2")).unwrap(), "bb");
+        assert_eq!(other_client.request(&get("bb", "2")).unwrap(), "bb");
     }
     let unknown_class = command(&["OBJ.GET", "aa", "9", "c=nope,t=acme,d=100"]);
     let missing_arguments = command(&["OBJ.GET", "aa"]);
     let key_with_line_break = command(&["OBJ.GET", "a\r\nb", "9", "c=read,t=acme,d=100"]);
     for malformed in [unknown_class, missing_arguments, key_with_line_break, command(&["FLUSHALL"])] {
-        assert!(other.request(&malformed).unwrap().starts_with("-ERR"), "framed well: answered");
-        assert_eq!(other.request(&get("cc", "3")).unwrap(), "cc", "and the connection goes on");
+        assert!(other_client.request(&malformed).unwrap().starts_with("-ERR"), "framed well: answered");
+        assert_eq!(other_client.request(&get("cc", "3")).unwrap(), "cc", "and the connection goes on");
     }
 }
 
@@ -210,14 +210,14 @@
     let mut client = node.connect_client();
     client.send(&get("aa", "7"));
     cache.next_request();
-    let mut other = node.connect_client();
-    assert!(other.request(&get("aa", "7")).unwrap().starts_with("-ERR"));
-    assert_eq!(other.request(&get("bb", "8")).unwrap(), "bb", "the next that reaches the server");
+    let mut other_client = node.connect_client();
+    assert!(other_client.request(&get("aa", "7")).unwrap().starts_with("-ERR"));
+    assert_eq!(other_client.request(&get("bb", "8")).unwrap(), "bb", "the next that reaches the server");
     assert_eq!(cache.next_request().parts[2], "8");
     release.send(()).unwrap();
     assert_eq!(client.read_answer().unwrap(), "mine");
     assert_eq!(
-        other.request(&get("cc", "7")).unwrap(),
+        other_client.request(&get("cc", "7")).unwrap(),
         "cc",
         "an id is free when its request has its answer"
     );
@@ -370,11 +370,11 @@
 fn unresponsive_keep_alive_connections_fail_only_one_request() {
     let (release, release_signal) = channel();
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
-    let hung = Arc::new(AtomicBool::new(false));
+    let hang_flag = Arc::new(AtomicBool::new(false));
     let mut has_answered = false; // Of each connection its own.
-    let (hung_at_cache, cache_release_signal) = (hung.clone(), release_signal.clone());
+    let (connections_hang, cache_release_signal) = (hang_flag.clone(), release_signal.clone());
     let cache = cache_server(move |parts| {
-        if has_answered && hung_at_cache.load(Ordering::SeqCst) {
+        if has_answered && connections_hang.load(Ordering::SeqCst) {
             return ServerAction::Hang;
         }
         has_answered = true;
@@ -396,7 +396,7 @@
     assert_eq!(client.read_answer().unwrap(), "slow");
     // A connection that has just answered rests before it is used again.
     std::thread::sleep(Duration::from_millis(100));
-    hung.store(true, Ordering::SeqCst);
+    hang_flag.store(true, Ordering::SeqCst);
     let short_request = command(&["OBJ.GET", "aa", "3", "c=read,t=acme,d=400"]);
     assert!(client.request(&short_request).unwrap().starts_with('-'));
     assert_eq!(client.request(&get("bb", "4")).unwrap(), "bb", "on a fresh connection");
@@ -424,25 +424,25 @@
     }
     let mut client = node.connect_client();
     let mut answers = std::collections::BTreeSet::new();
-    for read_count in 0..40 {
-        answers.insert(client.request(&get(&format!("{read_count:x}"), "1")).unwrap());
+    for key in 0..40 {
+        answers.insert(client.request(&get(&format!("{key:x}"), "1")).unwrap());
     }
     assert_eq!(answers.len(), 2, "both are known still: {answers:?}");
     let update = server_list(6, false, &[server_entry("s-1", first.address, "std", "leaving")]);
     updates.send(chunk(&update)).unwrap();
     // The change is on its way: it has come once a key of the first goes to the second.
     let mut read_count = 0;
-    let mut consecutive_reads = 0;
-    while consecutive_reads < 40 {
+    let mut consecutive_second = 0;
+    while consecutive_second < 40 {
         read_count += 1;
         let answer = client.request(&get(&format!("{:x}", read_count % 40), "2")).unwrap();
-        consecutive_reads = if answer == "second" { consecutive_reads + 1 } else { 0 };
+        consecutive_second = if answer == "second" { consecutive_second + 1 } else { 0 };
         assert!(read_count < 100_000, "the change never took effect");
     }
 }
 
 /// A node that has begun to connect to a crowded cache server for a client's read, and what tells it of changes.
-fn start_connecting_node(
+fn start_node_connecting_to(
     full_backlog_server: &FullBacklogServer,
 ) -> (Node, std::sync::mpsc::Sender<Vec<u8>>, Client) {
     let origin = failing_origin();
@@ -462,14 +462,14 @@
 fn server_that_drains_while_a_connection_is_being_set_up_gets_no_request() {
     let full_backlog_server = FullBacklogServer::new();
     let second = cache_server(|_| ServerAction::Answer(hit("second")));
-    let (node, updates, mut client) = start_connecting_node(&full_backlog_server);
+    let (node, updates, mut client) = start_node_connecting_to(&full_backlog_server);
     let draining_entry = server_entry("s-1", full_backlog_server.address, "std", "leaving");
     let new_entry = server_entry("s-2", second.address, "std", "active");
     updates.send(chunk(&server_list(6, false, &[draining_entry, new_entry]))).unwrap();
     // Once the other serves, the list is in force. The first request has not been answered.
-    let mut other = node.connect_client();
+    let mut other_client = node.connect_client();
     let short_request = command(&["OBJ.GET", "bb", "2", "c=read,t=acme,d=100"]);
-    assert!((0..1_000).any(|_| other.request(&short_request).unwrap() == "second"));
+    assert!((0..1_000).any(|_| other_client.request(&short_request).unwrap() == "second"));
     let first = full_backlog_server.start_accepting(|_| ServerAction::Answer(hit("first")));
     assert_eq!(client.read_answer().unwrap(), "second", "the connection is up, and its server drains");
     assert!(first.events.try_iter().all(|event| event.parts.is_empty()), "nothing was written to it");
@@ -740,7 +740,7 @@
     let caches =
         ["first", "second", "third"].map(|name| cache_server(move |_| ServerAction::Answer(hit(name))));
     let origin = failing_origin();
-    let list_naming = |list_index, server: &StandIn| {
+    let list_with_cache = |list_index, server: &StandIn| {
         let entries = [
             server_entry("s-1", server.address, "std", "active"),
             server_entry("o-1", origin.address, "origin", "active"),
@@ -748,7 +748,7 @@
         server_list(list_index, true, &entries)
     };
     let (first_discovery, _old_updates, _) = idle_discovery();
-    let node = Node::start(first_discovery, &list_naming(500, &caches[0]));
+    let node = Node::start(first_discovery, &list_with_cache(500, &caches[0]));
     let mut client = node.connect_client();
     assert_eq!(client.request(&get("aa", "1")).unwrap(), "first");
     let mut open_discoveries = Vec::new();
@@ -757,7 +757,7 @@
         node.reload_config(Ok(next_discovery));
         let call = calls.recv_timeout(LONG_TIMEOUT).unwrap();
         assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "versions of the old one mean nothing here");
-        updates.send(chunk(&list_naming(list_index, &caches[server_index]))).unwrap();
+        updates.send(chunk(&list_with_cache(list_index, &caches[server_index]))).unwrap();
         let name = ["first", "second", "third"][server_index];
         assert!(
             (0..100_000).any(|_| client.request(&get("aa", "2")).unwrap() == name),
@@ -783,8 +783,8 @@
     let (discovery, _updates, _calls) = idle_discovery();
     let mut node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
     let mut client = node.connect_client();
-    let mut idle = node.connect_client();
-    assert_eq!(idle.request(&command(&["PING"])).unwrap(), "+PONG");
+    let mut idle_client = node.connect_client();
+    assert_eq!(idle_client.request(&command(&["PING"])).unwrap(), "+PONG");
     client.send(&get("ee", "1"));
     cache.next_request();
     node.terminate();
@@ -793,7 +793,7 @@
         "aa",
         "a new connection is still taken"
     );
-    assert_eq!(idle.read_answer(), None, "an idle one is closed");
+    assert_eq!(idle_client.read_answer(), None, "an idle one is closed");
     release.send(()).unwrap();
     assert_eq!(client.read_answer().unwrap(), "slow", "what was taken is finished");
     assert_eq!(client.read_answer(), None);
@@ -811,12 +811,12 @@
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
     let mut node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
-    let (mut client, mut idle) = (node.connect_client(), node.connect_client());
-    assert_eq!(idle.request(&command(&["PING"])).unwrap(), "+PONG");
+    let (mut client, mut idle_client) = (node.connect_client(), node.connect_client());
+    assert_eq!(idle_client.request(&command(&["PING"])).unwrap(), "+PONG");
     client.send(&get("ee", "1"));
     cache.next_request();
     node.terminate();
-    assert_eq!(idle.read_answer(), None, "it has begun to close connections");
+    assert_eq!(idle_client.read_answer(), None, "it has begun to close connections");
     // Never a moment without an open request: the first is held until the others have been read.
     client.send(&[get("aa", "2"), command(&["PING"]), get("aa", "3")].concat());
     release.send(()).unwrap();
@@ -839,14 +839,14 @@
     let (discovery, _updates, _calls) = idle_discovery();
     let known_list = list_of_one_cache(cache.address, origin.address);
     let mut node = Node::start_with_settings(discovery, &known_list, (256, 192), "", default_settings());
-    let (mut client, mut idle) = (node.connect_client(), node.connect_client());
-    assert_eq!(idle.request(&command(&["PING"])).unwrap(), "+PONG");
+    let (mut client, mut idle_client) = (node.connect_client(), node.connect_client());
+    assert_eq!(idle_client.request(&command(&["PING"])).unwrap(), "+PONG");
     // More than the buffers between node and client hold, so that the last of it can't be written yet.
     client.send(&["1", "2", "3"].map(|id| get("aa", id)).concat());
     let requests: Vec<_> = (0..3).map(|_| cache.next_request()).collect();
     assert_eq!(requests.len(), 3);
     node.terminate();
-    assert_eq!(idle.read_answer(), None, "it has begun to close connections");
+    assert_eq!(idle_client.read_answer(), None, "it has begun to close connections");
     // Far beyond the few milliseconds in which a node that waits for nobody ends.
     std::thread::sleep(Duration::from_millis(300));
     for _ in 0..3 {
@@ -882,9 +882,13 @@
     client.stream.set_nonblocking(true).unwrap();
     let mut other_clients = Vec::new();
     let read_result = loop {
-        let mut other = node.connect_client();
-        assert_eq!(other.request(&command(&["PING"])).unwrap(), "+PONG", "taken, though all others stay");
-        other_clients.push(other);
+        let mut other_client = node.connect_client();
+        assert_eq!(
+            other_client.request(&command(&["PING"])).unwrap(),
+            "+PONG",
+            "taken, though all others stay"
+        );
+        other_clients.push(other_client);
         match client.stream.read(&mut [0; 16]) {
             Err(error)
                 if error.kind() == std::io::ErrorKind::WouldBlock && start.elapsed() < LONG_TIMEOUT => {}
--- a/tests/node/stand_ins.rs
+++ b/tests/node/stand_ins.rs
@@ -105,9 +105,9 @@
 /// Settings under which a node waits for a connection for as long as such a server lets it: on a busy machine
 /// the greeting that comes through may be the one after 15 s.
 pub fn long_timeout_settings() -> String {
-    let patient_settings =
+    let settings =
         default_settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
-    patient_settings.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
+    settings.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
 }
 
 /// A read that is asked for for as long as such settings allow.
@@ -136,14 +136,14 @@
 }
 
 fn serve_connection(
-    connection_stream: TcpStream,
+    stream: TcpStream,
     connection: u32,
     read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
     respond: &mut impl FnMut(&[String]) -> ServerAction,
     sender: &Sender<ServerEvent>,
 ) {
-    let Ok(mut writer) = connection_stream.try_clone() else { return };
-    let mut reader = BufReader::new(connection_stream);
+    let Ok(mut writer) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(stream);
     while let Some(parts) = read_request(&mut reader) {
         let action = respond(&parts);
         let _ = sender.send(ServerEvent { parts, connection });
@@ -157,13 +157,13 @@
                 let _ = release_signal.recv_timeout(LONG_TIMEOUT);
                 (answer_bytes, true)
             }
-            ServerAction::AnswerThenSendMore(answer_bytes, release_signal, more_bytes, answer) => {
+            ServerAction::AnswerThenSendMore(answer_bytes, release_signal, more_bytes, sent) => {
                 if writer.write_all(&answer_bytes).is_err() {
                     return;
                 }
                 let _ = release_signal.lock().unwrap().recv_timeout(LONG_TIMEOUT);
                 let _ = writer.write_all(&more_bytes);
-                let _ = answer.send(());
+                let _ = sent.send(());
                 continue;
             }
             ServerAction::AnswerThenClose(answer_bytes) => (answer_bytes, true),
@@ -180,18 +180,18 @@
 
 /// Reads a command, an array of bulk strings.
 fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let count: usize = read_line(reader)?.strip_prefix('*')?.parse().ok()?;
+    let count: usize = read_trimmed_line(reader)?.strip_prefix('*')?.parse().ok()?;
     (0..count).map(|_| read_bulk_string(reader)).collect()
 }
 
 fn read_bulk_string(reader: &mut BufReader<TcpStream>) -> Option<String> {
-    let size: usize = read_line(reader)?.strip_prefix('$')?.parse().ok()?;
+    let size: usize = read_trimmed_line(reader)?.strip_prefix('$')?.parse().ok()?;
     let mut bytes = vec![0; size + 2];
     reader.read_exact(&mut bytes).ok()?;
     Some(String::from_utf8_lossy(&bytes[..size]).into_owned())
 }
 
-fn read_line(reader: &mut BufReader<TcpStream>) -> Option<String> {
+fn read_trimmed_line(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     let count = reader.read_line(&mut text).ok()?;
     (count > 0).then(|| text.trim_end().to_string())
@@ -199,10 +199,10 @@
 
 /// Reads an HTTP request: its first line, its headers, its body.
 pub fn read_http_request(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let mut parts = vec![read_line(reader)?];
+    let mut parts = vec![read_trimmed_line(reader)?];
     let mut body_length = 0;
     loop {
-        let header = read_line(reader)?;
+        let header = read_trimmed_line(reader)?;
         if header.is_empty() {
             break;
         }
@@ -502,7 +502,7 @@
 
     /// The next answer: a line as it is, a bulk string as its content; `None` at the connection's end.
     pub fn read_answer(&mut self) -> Option<String> {
-        let first_line = read_line(&mut self.reader)?;
+        let first_line = read_trimmed_line(&mut self.reader)?;
         let Some(size) = first_line.strip_prefix('$') else { return Some(first_line) };
         let mut bytes = vec![0; size.parse::<usize>().unwrap() + 2];
         self.reader.read_exact(&mut bytes).ok()?;
