--- a/tests/node/system_calls.c
+++ b/tests/node/system_calls.c
@@ -7,42 +7,43 @@
 #include <sys/socket.h>
 #include <sys/types.h>
 
-static unsigned state = 1;
+static unsigned random_state = 1;
 
-__attribute__((constructor)) static void seed(void) {
+__attribute__((constructor)) static void read_seed(void) {
     const char *text = getenv("SYSTEM_CALLS_SEED");
-    if (text) state = (unsigned)atoi(text);
+    if (text) random_state = (unsigned)atoi(text);
 }
 
-static unsigned draw(unsigned below) {
-    state = state * 1103515245u + 12345u;
-    return ((state >> 16) & 0x7fff) % below;
+static unsigned next_random(unsigned limit) {
+    random_state = random_state * 1103515245u + 12345u;
+    return ((random_state >> 16) & 0x7fff) % limit;
 }
 
 /* How many bytes a call may move; 0 if it is to be interrupted. */
-static size_t allowed(size_t length) {
-    unsigned drawn = draw(100);
-    if (drawn < 10) return 0;
-    return drawn < 20 && length > 1 ? 1 + draw(length < 40 ? (unsigned)length : 40) : length;
+static size_t allowed_length(size_t length) {
+    unsigned percentile = next_random(100);
+    if (percentile < 10) return 0;
+    return percentile < 20 && length > 1 ? 1 + next_random(length < 40 ? (unsigned)length : 40) : length;
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    ssize_t (*real)(int, void *, size_t, int) = (ssize_t (*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
-    size_t part = flags & MSG_PEEK ? length : allowed(length);
-    if (length > 0 && part == 0) {
+    ssize_t (*libc_function)(int, void *, size_t, int) =
+        (ssize_t (*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
+    size_t allowed = flags & MSG_PEEK ? length : allowed_length(length);
+    if (length > 0 && allowed == 0) {
         errno = EINTR;
         return -1;
     }
-    return real(fd, buffer, part, flags);
+    return libc_function(fd, buffer, allowed, flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    ssize_t (*real)(int, const void *, size_t, int) =
+    ssize_t (*libc_function)(int, const void *, size_t, int) =
         (ssize_t (*)(int, const void *, size_t, int))dlsym(RTLD_NEXT, "send");
-    size_t part = allowed(length);
-    if (length > 0 && part == 0) {
+    size_t allowed = allowed_length(length);
+    if (length > 0 && allowed == 0) {
         errno = EINTR;
         return -1;
     }
-    return real(fd, buffer, part, flags);
+    return libc_function(fd, buffer, allowed, flags);
 }
