--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -259,7 +259,7 @@
             client
         };
         let mut clients: Vec<_> = (0..20).filter(|_| pinged_before).map(|_| pinged_client()).collect();
-        // Opens connections to the cache server, which can carry a request without delay after 100 ms without use.
+        // Opens connections to the cache server. After 100 ms without use they can carry a request at once.
         let mut warming_client = node.connect_client();
         warming_client.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
         assert!(
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -189,10 +189,10 @@
 }
 
 // Guards against closing a call or a watch before its replacement is answered. New configurations arrived
-// 0.3 s apart, and each time the open call or watch was closed as the next call was made. What discovery wrote
-// to it at that moment was lost, though it counts as notified, and the next call waited in discovery's queue
-// for up to 0.9 s or was refused. A node's log has answers at 89.5, 90.5 and 91.4 s, each to another address,
-// and none in between.
+// 0.3 s apart, and each time the open call or watch was closed as the next call was made. What discovery
+// wrote to it at that moment was lost, though it counts as notified, and the next call waited in discovery's
+// queue for up to 0.9 s or was refused. A node's log has answers at 89.5, 90.5 and 91.4 s, each to another
+// address, and none in between.
 #[test]
 fn watch_delivers_drains_until_its_replacement_is_answered() {
     let upstreams = Upstreams::new();
--- a/tests/node/system_calls.c
+++ b/tests/node/system_calls.c
@@ -1,5 +1,6 @@
-/* Stands between a program and the C library: one in ten reads and one in ten writes on sockets is interrupted, and
-   another tenth moves less than it could, as a seed draws it. Built and preloaded by the tests. */
+/* Wraps recv and send of the C library: a tenth of the calls fails with EINTR, and another tenth transfers
+   less than requested. A seeded random generator selects them. The tests build this library and preload it
+   into the node. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -19,7 +20,7 @@
     return ((random_state >> 16) & 0x7fff) % limit;
 }
 
-/* How many bytes a call may move; 0 if it is to be interrupted. */
+/* Returns how many bytes a call may transfer; 0 if the call is to fail with EINTR. */
 static size_t allowed_length(size_t length) {
     unsigned percentile = next_random(100);
     if (percentile < 10) return 0;
@@ -29,6 +30,7 @@
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     ssize_t (*libc_function)(int, void *, size_t, int) =
         (ssize_t (*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
+    /* Calls that only peek pass unchanged. */
     size_t allowed = flags & MSG_PEEK ? length : allowed_length(length);
     if (length > 0 && allowed == 0) {
         errno = EINTR;
