--- a/tests/node/stand_ins.rs
+++ b/tests/node/stand_ins.rs
@@ -1,4 +1,7 @@
-//! Small stand-ins for cache servers, the origin and discovery, and the node between them.
+//! Stand-ins for cache servers, the origin and discovery, the node process under test, and its clients.
+//!
+//! All of them talk over loopback sockets. The stand-ins know nothing of the node's code; they speak its
+//! protocols.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,319 +14,341 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Longer than anything here takes, on the busiest machine.
-pub const LONG: Duration = Duration::from_secs(20);
-
-/// What a stand-in does with a request.
-pub enum Act {
-    /// Answers with these bytes.
-    Say(Vec<u8>),
-    /// Answers with these bytes once something comes through the channel.
-    SayAfter(Receiver<()>, Vec<u8>),
-    /// Answers with these bytes once something comes through the channel, and ends the connection.
-    SayAfterAndClose(Receiver<()>, Vec<u8>),
-    /// Answers with these bytes and ends the connection.
-    SayAndClose(Vec<u8>),
-    /// Answers with these bytes, and once something comes through the channel with the others; then says so.
-    SayMore(Vec<u8>, Arc<Mutex<Receiver<()>>>, Vec<u8>, Sender<()>),
-    /// Ends the connection.
+/// Time-out of every wait in these tests: longer than any of them takes, even on a busy machine.
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// What a stand-in server does when it has received a request.
+pub enum ServerAction {
+    /// Sends these bytes.
+    Answer(Vec<u8>),
+    /// Sends these bytes after a message on the channel.
+    AnswerAfter(Receiver<()>, Vec<u8>),
+    /// Sends these bytes after a message on the channel, then closes the connection.
+    AnswerAfterThenClose(Receiver<()>, Vec<u8>),
+    /// Sends these bytes, then closes the connection.
+    AnswerThenClose(Vec<u8>),
+    /// Sends the first bytes, and the second ones after a message on the channel; then reports that on the
+    /// sender.
+    AnswerThenSendMore(Vec<u8>, Arc<Mutex<Receiver<()>>>, Vec<u8>, Sender<()>),
+    /// Closes the connection without an answer.
     Close,
-    /// Says nothing, and keeps the connection.
+    /// Sends nothing, and keeps the connection open.
     Hang,
 }
 
-/// A request that reached a stand-in: its words, and the number of its connection; without words, the end
-/// of that connection.
-pub struct Seen {
-    pub words: Vec<String>,
-    pub conn: u32,
+/// A request that a stand-in server has received, or, without parts, the end of a connection.
+pub struct ServerEvent {
+    /// The arguments of a RESP command, or the request line, headers and body of an HTTP request.
+    pub parts: Vec<String>,
+    /// Number of the connection, counted from 0 for each server.
+    pub connection: u32,
 }
 
+/// A stand-in for a cache server or an origin, which runs in threads of the test.
 pub struct StandIn {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<ServerEvent>,
 }
 
 impl StandIn {
-    /// The next request that reaches it.
-    pub fn next(&self) -> Seen {
-        std::iter::from_fn(|| self.seen.recv_timeout(LONG).ok())
-            .find(|seen| !seen.words.is_empty())
-            .expect("a request")
+    /// Waits for the next request that the server receives.
+    pub fn next_request(&self) -> ServerEvent {
+        std::iter::from_fn(|| self.events.recv_timeout(LONG_TIMEOUT).ok())
+            .find(|event| !event.parts.is_empty())
+            .expect("the stand-in receives a request in time")
     }
 
-    /// Waits until a connection has ended.
-    pub fn ended(&self) {
-        let end = std::iter::from_fn(|| self.seen.recv_timeout(LONG).ok()).find(|seen| seen.words.is_empty());
-        assert!(end.is_some(), "no connection has ended");
+    /// Waits until one of the server's connections has ended.
+    pub fn wait_for_connection_end(&self) {
+        let end = std::iter::from_fn(|| self.events.recv_timeout(LONG_TIMEOUT).ok())
+            .find(|event| event.parts.is_empty());
+        assert!(end.is_some(), "a connection ends in time");
     }
 }
 
-fn serve(
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: impl FnMut(&[String]) -> Act + Send + Clone + 'static,
+/// Starts a stand-in server on a free port.
+fn start_stand_in(
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
 ) -> StandIn {
-    serve_from(TcpListener::bind("127.0.0.1:0").unwrap(), Vec::new(), read, act)
+    start_stand_in_on(TcpListener::bind("127.0.0.1:0").unwrap(), Vec::new(), read_request, respond)
 }
 
-/// A cache server whose queue of newcomers is full: connections to it come up once it is opened, and not before.
-pub struct Crowded {
+/// A cache server whose listen backlog is full: connections to it are established only after
+/// [`FullBacklogServer::start_accepting`].
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: Socket,
-    fill: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl Crowded {
-    pub fn new() -> Crowded {
+impl FullBacklogServer {
+    pub fn new() -> FullBacklogServer {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        let fill: Vec<_> = std::iter::from_fn(connect).take(8).collect();
-        assert!(!fill.is_empty() && fill.len() < 8, "the queue is full");
-        Crowded { address, listener, fill }
+        let queued: Vec<_> = std::iter::from_fn(connect).take(8).collect();
+        assert!(!queued.is_empty() && queued.len() < 8, "the listen backlog is full");
+        FullBacklogServer { address, listener, queued }
     }
 
-    /// Takes those that fill the queue and waits for the next, whose greeting the network sends again after a
-    /// second; from then on it is like any other.
-    pub fn open(self, act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
-        // A node that has given the connection up must fail the test and not hang it.
-        self.listener.set_read_timeout(Some(3 * LONG)).unwrap();
-        let accept = || TcpStream::from(self.listener.accept().expect("a connection").0);
-        let taken: Vec<_> = (0..=self.fill.len()).map(|_| accept()).collect();
+    /// Accepts the connections that fill the backlog and waits for the next one, whose SYN the kernel sends
+    /// again after a second. From then on the server is a stand-in like any other.
+    pub fn start_accepting(
+        self,
+        respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
+    ) -> StandIn {
+        // If the node has given up connecting, the test must fail and not hang.
+        self.listener.set_read_timeout(Some(3 * LONG_TIMEOUT)).unwrap();
+        let accept = || TcpStream::from(self.listener.accept().expect("the node keeps trying to connect").0);
+        let accepted: Vec<_> = (0..=self.queued.len()).map(|_| accept()).collect();
         self.listener.set_read_timeout(None).unwrap();
         self.listener.listen(64).unwrap();
-        serve_from(self.listener.into(), taken, read_command, act)
+        start_stand_in_on(self.listener.into(), accepted, read_command, respond)
     }
 }
 
-/// Settings under which a node waits for a connection for as long as such a server lets it: on a busy machine
-/// the greeting that comes through may be the one after 15 s.
-pub fn patient() -> String {
-    let patient = settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
-    patient.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
+/// Settings with a connect time-out and deadlines that are long enough for a [`FullBacklogServer`]: on a busy
+/// machine the SYN that is accepted may be the one that the kernel sends after 15 s.
+pub fn long_timeout_settings() -> String {
+    let settings =
+        default_settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
+    settings.replace(r#""deadlineUs":8000000"#, r#""deadlineUs":60000000"#)
 }
 
-/// A read that is asked for for as long as such settings allow.
-pub fn patient_get(key: &str, id: &str) -> Vec<u8> {
+/// A read command with the longest deadline under [`long_timeout_settings`].
+pub fn long_deadline_get(key: &str, id: &str) -> Vec<u8> {
     command(&["OBJ.GET", key, id, "c=read,t=acme,d=60000"])
 }
 
-fn serve_from(
+/// Starts a stand-in server on a listener. Connections that are already accepted are served first.
+fn start_stand_in_on(
     listener: TcpListener,
-    taken: Vec<TcpStream>,
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: impl FnMut(&[String]) -> Act + Send + Clone + 'static,
+    accepted: Vec<TcpStream>,
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
 ) -> StandIn {
     let address = listener.local_addr().unwrap();
-    let (tell, seen) = channel();
+    let (sender, events) = channel();
     std::thread::spawn(move || {
-        for (conn, stream) in taken.into_iter().chain(listener.incoming().flatten()).enumerate() {
-            let (mut act, tell) = (act.clone(), tell.clone());
+        for (connection, stream) in accepted.into_iter().chain(listener.incoming().flatten()).enumerate() {
+            let (mut respond, sender) = (respond.clone(), sender.clone());
             std::thread::spawn(move || {
-                connection(stream, conn as u32, read, &mut act, &tell);
-                let _ = tell.send(Seen { words: Vec::new(), conn: conn as u32 });
+                serve_connection(stream, connection as u32, read_request, &mut respond, &sender);
+                let _ = sender.send(ServerEvent { parts: Vec::new(), connection: connection as u32 });
             });
         }
     });
-    StandIn { address, seen }
+    StandIn { address, events }
 }
 
-fn connection(
+/// Reads requests from a connection and reacts to each until the connection ends.
+fn serve_connection(
     stream: TcpStream,
-    conn: u32,
-    read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    act: &mut impl FnMut(&[String]) -> Act,
-    tell: &Sender<Seen>,
+    connection: u32,
+    read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    respond: &mut impl FnMut(&[String]) -> ServerAction,
+    sender: &Sender<ServerEvent>,
 ) {
-    let Ok(mut out) = stream.try_clone() else { return };
-    let mut input = BufReader::new(stream);
-    while let Some(words) = read(&mut input) {
-        let does = act(&words);
-        let _ = tell.send(Seen { words, conn });
-        let (said, close) = match does {
-            Act::Say(bytes) => (bytes, false),
-            Act::SayAfter(wait, bytes) => {
-                let _ = wait.recv_timeout(LONG);
-                (bytes, false)
+    let Ok(mut writer) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(stream);
+    while let Some(parts) = read_request(&mut reader) {
+        let action = respond(&parts);
+        let _ = sender.send(ServerEvent { parts, connection });
+        let (answer, close_after) = match action {
+            ServerAction::Answer(answer_bytes) => (answer_bytes, false),
+            ServerAction::AnswerAfter(release_signal, answer_bytes) => {
+                let _ = release_signal.recv_timeout(LONG_TIMEOUT);
+                (answer_bytes, false)
             }
-            Act::SayAfterAndClose(wait, bytes) => {
-                let _ = wait.recv_timeout(LONG);
-                (bytes, true)
+            ServerAction::AnswerAfterThenClose(release_signal, answer_bytes) => {
+                let _ = release_signal.recv_timeout(LONG_TIMEOUT);
+                (answer_bytes, true)
             }
-            Act::SayMore(bytes, wait, more, said) => {
-                if out.write_all(&bytes).is_err() {
+            ServerAction::AnswerThenSendMore(answer_bytes, release_signal, more_bytes, sent) => {
+                if writer.write_all(&answer_bytes).is_err() {
                     return;
                 }
-                let _ = wait.lock().unwrap().recv_timeout(LONG);
-                let _ = out.write_all(&more);
-                let _ = said.send(());
+                let _ = release_signal.lock().unwrap().recv_timeout(LONG_TIMEOUT);
+                let _ = writer.write_all(&more_bytes);
+                let _ = sent.send(());
                 continue;
             }
-            Act::SayAndClose(bytes) => (bytes, true),
-            Act::Close => (Vec::new(), true),
-            Act::Hang => (Vec::new(), false),
+            ServerAction::AnswerThenClose(answer_bytes) => (answer_bytes, true),
+            ServerAction::Close => (Vec::new(), true),
+            ServerAction::Hang => (Vec::new(), false),
         };
-        if out.write_all(&said).is_err() || close {
-            // Shut down, not only dropped: a process that another test is just starting may hold it too.
-            let _ = out.shutdown(Shutdown::Both);
+        if writer.write_all(&answer).is_err() || close_after {
+            // Dropping the stream is not enough: a process that another test is just starting may have
+            // inherited the descriptor, which would keep the connection open.
+            let _ = writer.shutdown(Shutdown::Both);
             return;
         }
     }
 }
 
-/// Reads a command, an array of bulk strings.
-fn read_command(input: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let count: usize = line(input)?.strip_prefix('*')?.parse().ok()?;
-    (0..count).map(|_| bulk(input)).collect()
+/// Reads a RESP command, an array of bulk strings; `None` at the end of the connection or on invalid input.
+fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+    let count: usize = read_trimmed_line(reader)?.strip_prefix('*')?.parse().ok()?;
+    (0..count).map(|_| read_bulk_string(reader)).collect()
 }
 
-fn bulk(input: &mut BufReader<TcpStream>) -> Option<String> {
-    let size: usize = line(input)?.strip_prefix('$')?.parse().ok()?;
+fn read_bulk_string(reader: &mut BufReader<TcpStream>) -> Option<String> {
+    let size: usize = read_trimmed_line(reader)?.strip_prefix('$')?.parse().ok()?;
     let mut bytes = vec![0; size + 2];
-    input.read_exact(&mut bytes).ok()?;
+    reader.read_exact(&mut bytes).ok()?;
     Some(String::from_utf8_lossy(&bytes[..size]).into_owned())
 }
 
-fn line(input: &mut BufReader<TcpStream>) -> Option<String> {
+fn read_trimmed_line(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
-    let count = input.read_line(&mut text).ok()?;
+    let count = reader.read_line(&mut text).ok()?;
     (count > 0).then(|| text.trim_end().to_string())
 }
 
-/// Reads an HTTP request: its first line, its headers, its body.
-pub fn read_http(input: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let mut words = vec![line(input)?];
-    let mut length = 0;
+/// Reads an HTTP request: the request line, the headers and, as the last part, the body.
+pub fn read_http_request(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+    let mut parts = vec![read_trimmed_line(reader)?];
+    let mut body_length = 0;
     loop {
-        let header = line(input)?;
+        let header = read_trimmed_line(reader)?;
         if header.is_empty() {
             break;
         }
         if let Some(value) = header.strip_prefix("Content-Length: ") {
-            length = value.parse().ok()?;
+            body_length = value.parse().ok()?;
         }
-        words.push(header);
+        parts.push(header);
     }
-    let mut body = vec![0; length];
-    input.read_exact(&mut body).ok()?;
-    words.push(String::from_utf8_lossy(&body).into_owned());
-    Some(words)
+    let mut body = vec![0; body_length];
+    reader.read_exact(&mut body).ok()?;
+    parts.push(String::from_utf8_lossy(&body).into_owned());
+    Some(parts)
 }
 
-/// A cache server that does with each command what it is told.
-pub fn cache(act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
-    serve(read_command, act)
+/// Starts a cache server that reacts to each command as `respond` decides.
+pub fn cache_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
+    start_stand_in(read_command, respond)
 }
 
-/// An origin that does with each request what it is told.
-pub fn origin(act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> StandIn {
-    serve(read_http, act)
+/// Starts an origin that reacts to each HTTP request as `respond` decides.
+pub fn origin_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
+    start_stand_in(read_http_request, respond)
 }
 
+/// A cache server's answer to a read that is a hit.
 pub fn hit(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes()
 }
 
+/// A cache server's answer to a read that is a miss.
 pub fn miss() -> Vec<u8> {
     b"*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_vec()
 }
 
-pub fn http(status: u16, headers: &str, body: &str) -> Vec<u8> {
+pub fn http_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Discovery: each call is answered with the next of these scripts, the last one stays open and silent but
-/// for what comes through the channel.
-pub fn discovery(scripts: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
+/// Starts a discovery service that answers each call with the next of `scripts`. The call that gets the last
+/// script stays open; it carries what comes through the returned sender, and an empty line after each second
+/// without any. The receiver gets the request line of each call.
+pub fn discovery_server(scripts: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (say, said) = channel::<Vec<u8>>();
-    let (tell, calls) = channel();
+    let (updates, update_receiver) = channel::<Vec<u8>>();
+    let (call_sender, calls) = channel();
     std::thread::spawn(move || {
         let count = scripts.len();
         for (number, (script, stream)) in scripts.into_iter().zip(listener.incoming().flatten()).enumerate() {
-            let mut out = stream.try_clone().unwrap();
-            let mut input = BufReader::new(stream);
-            let request = read_http(&mut input).unwrap_or_default();
-            let _ = tell.send(request.first().cloned().unwrap_or_default());
-            let _ = out.write_all(&script);
+            let mut writer = stream.try_clone().unwrap();
+            let mut reader = BufReader::new(stream);
+            let request = read_http_request(&mut reader).unwrap_or_default();
+            let _ = call_sender.send(request.first().cloned().unwrap_or_default());
+            let _ = writer.write_all(&script);
             if number + 1 < count {
                 continue;
             }
             loop {
-                let bytes = match said.recv_timeout(Duration::from_secs(1)) {
+                let bytes = match update_receiver.recv_timeout(Duration::from_secs(1)) {
                     Ok(bytes) => bytes,
                     Err(std::sync::mpsc::RecvTimeoutError::Timeout) => chunk("\n"),
                     Err(_) => return,
                 };
-                if out.write_all(&bytes).is_err() {
+                if writer.write_all(&bytes).is_err() {
                     return;
                 }
             }
         }
     });
-    (address, say, calls)
+    (address, updates, calls)
 }
 
-/// The head of a watch.
+/// The head of discovery's answer to a watch.
 pub fn watch_head() -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec()
 }
 
+/// A chunk of an HTTP body in chunked transfer encoding.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// A line of the list.
-pub fn entry(name: &str, address: SocketAddr, kind: &str, status: &str) -> String {
+/// One server's entry in a list from discovery, as JSON.
+pub fn server_entry(name: &str, address: SocketAddr, machine_type: &str, status: &str) -> String {
     format!(
-        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"{machine_type}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-pub fn listing(index: u64, snapshot: bool, entries: &[String]) -> String {
+/// A list from discovery, as one line of JSON: the whole list if it is a snapshot, otherwise a change to it.
+pub fn server_list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(",")) + "\n"
 }
 
-/// A shell command before a node after which some of its reads and writes are interrupted or end early.
-pub fn failing_system_calls(seed: u32) -> String {
-    static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    let library = BUILT.get_or_init(|| {
+/// Returns shell commands to put before a node's start, which interrupt or shorten some of its reads and
+/// writes on sockets, as `system_calls.c` says. Builds that library at the first call.
+pub fn faulty_system_calls(seed: u32) -> String {
+    static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
+    let library = LIBRARY.get_or_init(|| {
         let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("system_calls.so");
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/node/system_calls.c");
-        let built =
+        let compiler_status =
             Command::new("cc").args(["-shared", "-fPIC", "-o"]).arg(&library).args([source, "-ldl"]).status();
-        assert!(built.expect("the C compiler that also links Rust").success());
+        assert!(compiler_status.expect("the C compiler `cc`, which Rust needs for linking").success());
         library
     });
     format!("export SYSTEM_CALLS_SEED={seed} LD_PRELOAD='{}';", library.display())
 }
 
-/// A node under test; killed when dropped.
+/// A running node process under test; killed when dropped.
 pub struct Node {
     child: Child,
     pub address: SocketAddr,
+    /// The lines of the node's log after the first one.
     pub log: Receiver<String>,
-    path: std::path::PathBuf,
-    text: String,
+    config_path: std::path::PathBuf,
+    config_text: String,
     discovery: SocketAddr,
-    before: String,
+    shell_prefix: String,
 }
 
-static FILES: AtomicU32 = AtomicU32::new(0);
+static NEXT_CONFIG_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// Writes a file of its own for each node.
-pub fn config_file(text: &str) -> std::path::PathBuf {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let name = format!("pondproxy-node-test-{}-{number}.json", std::process::id());
-    let path = std::env::temp_dir().join(name);
+/// Writes a configuration to a new temporary file.
+pub fn write_config_file(text: &str) -> std::path::PathBuf {
+    let number = NEXT_CONFIG_FILE.fetch_add(1, Ordering::Relaxed);
+    let file_name = format!("pondproxy-node-test-{}-{number}.json", std::process::id());
+    let path = std::env::temp_dir().join(file_name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn settings() -> &'static str {
+/// The settings of most tests: one balancer that pulls lists from discovery, a read class without side
+/// effects and a class of writes with side effects, and one tenant.
+pub fn default_settings() -> &'static str {
     r#"{"balancers":1,"me":0,"zone":0,"zones":["a"],"machineTypes":["std","origin"],"discovery":"ask",
     "classes":[{"name":"read","goalTimeUs":250000,"deadlineUs":8000000,"effect":"pure","lateValue":0.5,"gain":1.0},
       {"name":"put","goalTimeUs":250000,"deadlineUs":8000000,"effect":"side_effect","lateValue":0.5,"gain":1.0}],
@@ -332,121 +357,138 @@
     "guarantees":{"askWithinUs":1000000,"drainGraceUs":500000},"periodUs":2000}"#
 }
 
-fn launch(
-    path: &std::path::Path,
+/// Starts the node program and waits for the first line of its log, which ends with the address it listens
+/// on.
+fn spawn_node(
+    config_path: &std::path::Path,
     (listen, discovery): (SocketAddr, SocketAddr),
-    before: &str,
+    shell_prefix: &str,
 ) -> (Child, SocketAddr, Receiver<String>) {
     let mut child = Command::new("/bin/sh")
         .arg("-c")
-        .arg(format!("{before} exec \"{}\"", env!("CARGO_BIN_EXE_pondproxy-node")))
-        .env("ROUTER_CONFIG", path)
+        .arg(format!("{shell_prefix} exec \"{}\"", env!("CARGO_BIN_EXE_pondproxy-node")))
+        .env("ROUTER_CONFIG", config_path)
         .env("ROUTER_LISTEN", listen.to_string())
         .env("ROUTER_DISCOVERY", discovery.to_string())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let first = lines.next().expect("a first line in the log");
-    let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address in the log");
-    let (tell, log) = channel();
-    std::thread::spawn(move || lines.for_each(|line| drop(tell.send(line))));
+    let first_line = lines.next().expect("the node logs a first line");
+    let address = first_line
+        .rsplit(' ')
+        .next()
+        .and_then(|address| address.parse().ok())
+        .expect("the first log line ends with an address");
+    let (log_sender, log) = channel();
+    std::thread::spawn(move || lines.for_each(|line| drop(log_sender.send(line))));
     (child, address, log)
 }
 
 impl Node {
-    pub fn start(discovery: SocketAddr, known: &str) -> Node {
-        Node::start_with(discovery, known, 256, "")
+    /// Starts a node with the default settings and a list of servers that it knows from its configuration.
+    pub fn start(discovery: SocketAddr, known_list: &str) -> Node {
+        Node::start_with_limits(discovery, known_list, 256, "")
     }
 
-    /// Starts a node behind a shell command, such as a limit.
-    pub fn start_with(discovery: SocketAddr, known: &str, sockets: usize, before: &str) -> Node {
-        Node::start_in(discovery, known, (sockets, 16), before, settings())
+    /// Starts a node with a limit of sockets, behind shell commands such as `ulimit`.
+    pub fn start_with_limits(
+        discovery: SocketAddr,
+        known_list: &str,
+        sockets: usize,
+        shell_prefix: &str,
+    ) -> Node {
+        Node::start_with_settings(discovery, known_list, (sockets, 16), shell_prefix, default_settings())
     }
 
-    /// Starts a node where lists are pushed.
-    pub fn start_pushed(discovery: SocketAddr, known: &str) -> Node {
-        let settings = settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#);
-        Node::start_in(discovery, known, (256, 16), "", &settings)
+    /// Starts a node under settings in which discovery pushes its lists.
+    pub fn start_with_pushed_lists(discovery: SocketAddr, known_list: &str) -> Node {
+        let settings = default_settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#);
+        Node::start_with_settings(discovery, known_list, (256, 16), "", &settings)
     }
 
-    pub fn start_in(
+    /// Starts a node with limits of sockets and memory, behind shell commands, with the given settings.
+    pub fn start_with_settings(
         discovery: SocketAddr,
-        known: &str,
+        known_list: &str,
         (sockets, memory_mb): (usize, usize),
-        before: &str,
+        shell_prefix: &str,
         settings: &str,
     ) -> Node {
-        let text = format!(
-            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets},"memory_mb":{memory_mb}}},"known":{known},"settings":{}}}"#,
+        let config_text = format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets},"memory_mb":{memory_mb}}},"known":{known_list},"settings":{}}}"#,
             settings
         );
-        let path = config_file(&text);
+        let config_path = write_config_file(&config_text);
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (child, address, log) = launch(&path, (listen, discovery), before);
-        Node { child, address, log, path, text, discovery, before: before.into() }
+        let (child, address, log) = spawn_node(&config_path, (listen, discovery), shell_prefix);
+        Node { child, address, log, config_path, config_text, discovery, shell_prefix: shell_prefix.into() }
     }
 
-    /// Kills it and starts it again under its address.
-    pub fn restart(&mut self) {
+    /// Kills the node and starts it again at the same address.
+    pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        (self.child, _, self.log) = launch(&self.path, (self.address, self.discovery), &self.before);
+        (self.child, _, self.log) =
+            spawn_node(&self.config_path, (self.address, self.discovery), &self.shell_prefix);
     }
 
-    /// Replaces the configuration by one that names another discovery, or by any text, and sends SIGHUP.
-    pub fn reload(&self, with: Result<SocketAddr, &str>) {
-        self.configure(with);
-        self.kill("HUP");
+    /// Replaces the configuration file as [`Node::replace_config`] does, and sends SIGHUP.
+    pub fn reload_config(&self, discovery_or_text: Result<SocketAddr, &str>) {
+        self.replace_config(discovery_or_text);
+        self.send_signal("HUP");
     }
 
-    /// Replaces the configuration by one that names another discovery, or by any text, and sends no signal.
-    pub fn configure(&self, with: Result<SocketAddr, &str>) {
-        let text = match with {
-            Ok(address) => self.text.replace(&self.discovery.to_string(), &address.to_string()),
+    /// Replaces the configuration file by one that names another discovery, or by any text, without a signal.
+    pub fn replace_config(&self, discovery_or_text: Result<SocketAddr, &str>) {
+        let text = match discovery_or_text {
+            Ok(discovery) => self.config_text.replace(&self.discovery.to_string(), &discovery.to_string()),
             Err(text) => text.into(),
         };
-        let written = self.path.with_extension("new");
-        std::fs::write(&written, text).unwrap();
-        std::fs::rename(&written, &self.path).unwrap();
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, text).unwrap();
+        std::fs::rename(&new_path, &self.config_path).unwrap();
     }
 
-    pub fn client(&self) -> Client {
+    /// Opens a client's connection to the node.
+    pub fn connect_client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        Client { out: stream.try_clone().unwrap(), input: BufReader::new(stream) }
+        stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
+        Client { stream: stream.try_clone().unwrap(), reader: BufReader::new(stream) }
     }
 
-    /// The memory that it holds, in KiB.
+    /// Returns the node's resident memory in KiB.
     pub fn resident_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    /// How many descriptors it holds.
-    pub fn descriptors(&self) -> usize {
+    /// Returns the number of descriptors that the node holds open.
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Has it stand still while something is done: what reaches its machine meanwhile waits there.
-    pub fn stopped<T>(&self, does: impl FnOnce() -> T) -> T {
-        self.kill("STOP");
-        let done = does();
-        self.kill("CONT");
-        done
+    /// Stops the node with SIGSTOP while `action` runs. What is sent to it meanwhile waits in the kernel's
+    /// buffers.
+    pub fn while_stopped<T>(&self, action: impl FnOnce() -> T) -> T {
+        self.send_signal("STOP");
+        let result = action();
+        self.send_signal("CONT");
+        result
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
-        self.kill("TERM");
+        self.send_signal("TERM");
     }
 
-    fn kill(&self, signal: &str) {
-        let kill = format!("kill -{signal} {}", self.child.id());
-        assert!(Command::new("/bin/sh").arg("-c").arg(kill).status().unwrap().success());
+    fn send_signal(&self, signal: &str) {
+        let kill_command = format!("kill -{signal} {}", self.child.id());
+        assert!(Command::new("/bin/sh").arg("-c").arg(kill_command).status().unwrap().success());
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 }
@@ -455,47 +497,53 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// A client of the node.
+/// A client's connection to the node.
 pub struct Client {
-    pub out: TcpStream,
-    pub input: BufReader<TcpStream>,
+    pub stream: TcpStream,
+    pub reader: BufReader<TcpStream>,
 }
 
-pub fn command(words: &[&str]) -> Vec<u8> {
-    let words = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect::<String>();
-    let count = words.matches("\r\n$").count() + 1;
-    format!("*{count}\r\n{words}").into_bytes()
+/// A RESP command with these arguments.
+pub fn command(arguments: &[&str]) -> Vec<u8> {
+    let arguments =
+        arguments.iter().map(|argument| format!("${}\r\n{argument}\r\n", argument.len())).collect::<String>();
+    let count = arguments.matches("\r\n$").count() + 1;
+    format!("*{count}\r\n{arguments}").into_bytes()
 }
 
+/// A read command of the class `read`, with a deadline of 8 s.
 pub fn get(key: &str, id: &str) -> Vec<u8> {
     command(&["OBJ.GET", key, id, "c=read,t=acme,d=8000"])
 }
 
+/// A write command of the class `put`, which has side effects, with a deadline of 8 s.
 pub fn put(key: &str, id: &str, value: &str) -> Vec<u8> {
     command(&["OBJ.SET", key, id, "c=put,t=acme,d=8000,k=77", value])
 }
 
 impl Client {
     pub fn send(&mut self, bytes: &[u8]) {
-        self.out.write_all(bytes).unwrap();
+        self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next answer: a line as it is, a bulk string as its content; `None` at the connection's end.
-    pub fn answer(&mut self) -> Option<String> {
-        let first = line(&mut self.input)?;
-        let Some(size) = first.strip_prefix('$') else { return Some(first) };
+    /// Reads the next answer: a line as received, or the content of a bulk string; `None` at the connection's
+    /// end.
+    pub fn read_answer(&mut self) -> Option<String> {
+        let first_line = read_trimmed_line(&mut self.reader)?;
+        let Some(size) = first_line.strip_prefix('$') else { return Some(first_line) };
         let mut bytes = vec![0; size.parse::<usize>().unwrap() + 2];
-        self.input.read_exact(&mut bytes).ok()?;
+        self.reader.read_exact(&mut bytes).ok()?;
         bytes.truncate(bytes.len() - 2);
         Some(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    pub fn ask(&mut self, bytes: &[u8]) -> Option<String> {
+    /// Sends a command and reads the next answer.
+    pub fn request(&mut self, bytes: &[u8]) -> Option<String> {
         self.send(bytes);
-        self.answer()
+        self.read_answer()
     }
 }
