--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,89 +6,102 @@
 
 /// Overload signals in each attempt (turned away or nearly late is one, slow a half) from which tenants are
 /// held closer to their quotas.
-const HOLD_FROM: f64 = 0.06;
+const MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.06;
 /// Overload signals in each attempt from which tenants are held even below their quotas.
-const JAMMED_FROM: f64 = 0.55;
+const SEVERE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.55;
 /// Servers that report to be busy for less than this part of their time, all in all, have room for what
 /// quotas allow and more: what is slow then is slow at single servers.
-const ROOM: f64 = 0.7;
+const SPARE_CAPACITY_MAX_UTILIZATION: f64 = 0.7;
 /// Least multiple of the quotas that fills the buckets: a jammed fleet heals half idle.
-const LOWEST_LEVEL: f64 = 0.25;
+const MIN_ADMISSION_LEVEL: f64 = 0.25;
 /// Multiple of the quotas that fills the buckets at the start.
-pub(super) const INITIAL_LEVEL: f64 = 1.0;
+pub(super) const INITIAL_ADMISSION_LEVEL: f64 = 1.0;
 /// Greatest multiple of the quotas that fills the buckets; at this level nobody is held back.
-pub(super) const HIGHEST_LEVEL: f64 = 4.0;
+pub(super) const MAX_ADMISSION_LEVEL: f64 = 4.0;
 /// Factors on the level at a review, downwards and upwards.
 const LEVEL_STEPS: (f64, f64) = (0.92, 1.04);
 /// A step is whole from so many attempts judged: one of many balancers sees few.
-const WHOLE_STEP_FROM: f64 = 5.0;
+const FULL_STEP_MIN_ATTEMPTS: f64 = 5.0;
 /// Tokens that a bucket holds beyond an aim's worth, against chance in who reaches which balancer.
-const BURST: f64 = 5.0;
+const BURST_TOKENS: f64 = 5.0;
 /// Part of the quotas that tenants may use in common: those within their quotas leave about the rest unused.
-const POOL: f64 = 0.8;
+const SHARED_BUCKET_FRACTION_OF_QUOTAS: f64 = 0.8;
 /// What a review keeps of the counts before it, while more than this many are left to judge by.
 const FADE: (f64, f64) = (0.85, 10.0);
 /// Shedding is logged no more often than this. Around its mark the level may cross many times a minute, and a
 /// line for each would hide all others.
-const SHEDDING_LOG_PERIOD: Micros = 30_000_000;
+const SHEDDING_LOG_PERIOD_US: Micros = 30_000_000;
 
 impl Policy {
     /// A tenant's token bucket fills with this balancer's part of its quota, times the level, so that those
     /// furthest over are turned away first. A rate measured from the handful that one of many balancers sees
     /// would turn away those within their quotas.
-    pub(super) fn admit(&mut self, h: &mut RequestState, tenant: usize) -> bool {
-        let Some(sender) = self.tenant_buckets.get_mut(tenant) else { return true };
+    pub(super) fn admit(&mut self, request_state: &mut RequestState, tenant: usize) -> bool {
+        let Some(tenant_bucket) = self.tenant_buckets.get_mut(tenant) else { return true };
         // While all together ask for less than their quotas, chance in a small bucket turns none away.
         // A falling level empties the buckets too: what many hold back would keep a jam going for long.
-        let burst = (BURST * self.admission_level).clamp(1.0, BURST);
-        let pooled =
-            self.shared_bucket.refill(self.now, POOL * self.quota_share * self.admission_level, burst);
-        let quota = self.settings.tenants.get(tenant).map_or(f64::INFINITY, |t| t.quota_per_s);
-        let part = self.admission_level * quota / f64::from(self.settings.balancer_count.max(1));
-        let room = sender.refill(self.now, part, burst + part * self.latency_target as f64 / 1e6);
-        let admitted = room || pooled || self.admission_level >= HIGHEST_LEVEL;
+        let burst = (BURST_TOKENS * self.admission_level).clamp(1.0, BURST_TOKENS);
+        let shared_token = self.shared_bucket.refill(
+            self.now,
+            SHARED_BUCKET_FRACTION_OF_QUOTAS * self.quota_share * self.admission_level,
+            burst,
+        );
+        let quota = self.settings.tenants.get(tenant).map_or(f64::INFINITY, |tenant| tenant.quota_per_s);
+        let fill_rate = self.admission_level * quota / f64::from(self.settings.balancer_count.max(1));
+        let own_token =
+            tenant_bucket.refill(self.now, fill_rate, burst + fill_rate * self.latency_target as f64 / 1e6);
+        let admitted = own_token || shared_token || self.admission_level >= MAX_ADMISSION_LEVEL;
         if admitted {
-            sender.take();
+            tenant_bucket.take();
             self.shared_bucket.take();
-            h.charged_tenant = Some(tenant);
+            request_state.charged_tenant = Some(tenant);
         }
         admitted
     }
 
     /// Logs that shedding over quota has begun.
-    fn log_shedding(&mut self, level_before: f64, out: &mut Vec<Action>) {
-        let begins = level_before >= HIGHEST_LEVEL && self.admission_level < HIGHEST_LEVEL;
+    fn log_shedding_start(&mut self, level_before: f64, actions: &mut Vec<Action>) {
+        let begins = level_before >= MAX_ADMISSION_LEVEL && self.admission_level < MAX_ADMISSION_LEVEL;
         if begins && self.now >= self.shedding_log_muted_until {
-            self.shedding_log_muted_until = self.now + SHEDDING_LOG_PERIOD;
-            out.push(Action::Log("shedding over quota has begun".into()));
+            self.shedding_log_muted_until = self.now + SHEDDING_LOG_PERIOD_US;
+            actions.push(Action::Log("shedding over quota has begun".into()));
         }
     }
 
     /// Moves the level that tenants are held to, by the overload seen lately. An equal part of a quota is a
     /// guess, and some of many balancers see several times the mean: none is held to it while there is room.
-    pub(super) fn review(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn review_admission_level(&mut self, actions: &mut Vec<Action>) {
         let period = (self.latency_target / 8).max(self.settings.tick).max(1);
-        let was = self.admission_level;
+        let previous_level = self.admission_level;
         let overload = self.overload_signal.value();
-        let jammed = overload > JAMMED_FROM;
-        let room = self.sees_little() && !jammed && self.server_utilization.value() < ROOM;
-        let hold = overload > HOLD_FROM && !jammed && !room;
-        let floor = if jammed { LOWEST_LEVEL } else { INITIAL_LEVEL };
+        let severe_overload = overload > SEVERE_OVERLOAD_SIGNALS_PER_ATTEMPT;
+        let has_spare_capacity = self.has_sparse_traffic()
+            && !severe_overload
+            && self.server_utilization.value() < SPARE_CAPACITY_MAX_UTILIZATION;
+        let hold_to_quotas =
+            overload > MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT && !severe_overload && !has_spare_capacity;
+        let min_level = if severe_overload { MIN_ADMISSION_LEVEL } else { INITIAL_ADMISSION_LEVEL };
         // It hastens in a jam, which grows by itself, and where few or no requests are left to judge by.
-        let haste = jammed || was < INITIAL_LEVEL || room || (self.cache_in_flight == 0 && overload <= 0.0);
-        let part = if haste { 1.0 } else { (self.overload_signal.recent / WHOLE_STEP_FROM).min(1.0) };
-        self.admission_level = match jammed || (hold && was > INITIAL_LEVEL) {
-            true => (was * LEVEL_STEPS.0.powf(part)).max(floor),
+        let full_step = severe_overload
+            || previous_level < INITIAL_ADMISSION_LEVEL
+            || has_spare_capacity
+            || (self.cache_in_flight == 0 && overload <= 0.0);
+        let step_fraction =
+            if full_step { 1.0 } else { (self.overload_signal.recent / FULL_STEP_MIN_ATTEMPTS).min(1.0) };
+        self.admission_level = match severe_overload
+            || (hold_to_quotas && previous_level > INITIAL_ADMISSION_LEVEL)
+        {
+            true => (previous_level * LEVEL_STEPS.0.powf(step_fraction)).max(min_level),
             false => {
-                let ceiling = if hold { INITIAL_LEVEL } else { HIGHEST_LEVEL };
-                (was * LEVEL_STEPS.1.powf(part)).min(ceiling)
+                let max_level = if hold_to_quotas { INITIAL_ADMISSION_LEVEL } else { MAX_ADMISSION_LEVEL };
+                (previous_level * LEVEL_STEPS.1.powf(step_fraction)).min(max_level)
             }
         };
-        self.log_shedding(was, out);
+        self.log_shedding_start(previous_level, actions);
         self.overload_signal.decay(FADE.0, FADE.1);
         self.gate.blocked_ratio.decay(FADE.0, FADE.1);
         self.server_utilization.decay(FADE.0, FADE.1);
         self.admitted_rate.end_period(period);
-        self.wake(period, TimerTask::AdmissionReview);
+        self.schedule_after(period, TimerTask::AdmissionReview);
     }
 }
