--- a/src/policy.rs
+++ b/src/policy.rs
@@ -13,11 +13,18 @@
 use crate::state::*;
 use admission::{INITIAL_ADMISSION_LEVEL, MAX_ADMISSION_LEVEL};
 
-/// Load bound: a server is skipped from this multiple of its part of the attempts in flight, of this
-/// balancer's or, by what servers report, of all: the first where the origin has room for the fetch that a
-/// skip costs, the second where it holds calls up; never below the third of all, else a quiet fleet would
-/// scatter its keys. It is without room when the fourth, as a part of the calls, finds the gate shut.
-const BOUND: (f64, f64, f64, f64) = (1.25, 3.0, 8.0, 0.05);
+/// Load bound: a server is passed over when it has at least this multiple of its weighted share of the
+/// attempts in flight. The share is taken of this balancer's attempts and, from the load reports, of the
+/// attempts of all balancers. Applies while the origin has room for the fetch that passing over may cost.
+const LOAD_BOUND_MULTIPLE_OF_SHARE: f64 = 1.25;
+/// The same bound when the gate blocks calls to the origin, so that there is no room for further fetches.
+const LOAD_BOUND_MULTIPLE_OF_SHARE_ORIGIN_FULL: f64 = 3.0;
+/// Least load bound of a server, in attempts in flight of all balancers. Without it, a fleet with little
+/// traffic would scatter its keys over the servers.
+const MIN_LOAD_BOUND_ATTEMPTS: f64 = 8.0;
+/// Fraction of the calls to the origin from which on the origin counts as full, if the gate blocks that many.
+/// The load bound rises linearly up to this point.
+const ORIGIN_FULL_BLOCKED_FRACTION_OF_CALLS: f64 = 0.05;
 /// What a server reports of itself counts for nothing after this multiple of the longest aim, or of the time
 /// in which this balancer asks each server once, where that is more.
 const REPORT_FADES: (f64, f64) = (4.0, 8.0);
@@ -214,13 +221,15 @@
         let request_state = &self.requests[&request_id];
         let key = if request_state.key == 0 { request_id } else { request_state.key };
         let time_left = self.useful_until(request_state).saturating_sub(self.now) as f64;
-        let bound_multiple =
-            BOUND.0 + (BOUND.1 - BOUND.0) * (self.gate.blocked_ratio.value() / BOUND.3).min(1.0);
+        let bound_multiple = LOAD_BOUND_MULTIPLE_OF_SHARE
+            + (LOAD_BOUND_MULTIPLE_OF_SHARE_ORIGIN_FULL - LOAD_BOUND_MULTIPLE_OF_SHARE)
+                * (self.gate.blocked_ratio.value() / ORIGIN_FULL_BLOCKED_FRACTION_OF_CALLS).min(1.0);
         let own_bound = bound_multiple * f64::from(self.cache_in_flight + 1) / self.total_weight;
         let total_load =
             self.ready_servers(false).map(|server| self.estimated_load(server, 1.0)).sum::<f64>();
         let fleet_bound = bound_multiple * (total_load + 1.0) / self.total_weight;
-        let min_bound = BOUND.2 / f64::from(self.settings.balancer_count.max(2)); // At most half per balancer.
+        // At most half per balancer.
+        let min_bound = MIN_LOAD_BOUND_ATTEMPTS / f64::from(self.settings.balancer_count.max(2));
         let mut candidates = Vec::new();
         for server in self.ready_servers(false).filter(|server| {
             !request_state.tried_servers.contains(&server.entry.id) && self.slow_start_allows(key, server)
@@ -233,7 +242,7 @@
             let estimated_load = self.estimated_load(server, 0.5 + unit_hash(request_id, server.entry.id, 2));
             let over_bound = f64::from(server.in_flight)
                 >= (own_bound * self.server_weight(server)).max(min_bound)
-                || estimated_load >= (fleet_bound * self.server_weight(server)).max(BOUND.2);
+                || estimated_load >= (fleet_bound * self.server_weight(server)).max(MIN_LOAD_BOUND_ATTEMPTS);
             candidates.push((
                 (
                     ejected,
