--- a/src/policy.rs
+++ b/src/policy.rs
@@ -25,9 +25,12 @@
 /// Fraction of the calls to the origin from which on the origin counts as full, if the gate blocks that many.
 /// The load bound rises linearly up to this point.
 const ORIGIN_FULL_BLOCKED_FRACTION_OF_CALLS: f64 = 0.05;
-/// What a server reports of itself counts for nothing after this multiple of the longest aim, or of the time
-/// in which this balancer asks each server once, where that is more.
-const REPORT_FADES: (f64, f64) = (4.0, 8.0);
+/// Lifetime of a load report as a multiple of the longest latency target. The weight of a report falls
+/// linearly to 0 over its lifetime.
+const REPORT_LIFETIME_MULTIPLE_OF_LATENCY_TARGET: f64 = 4.0;
+/// Lifetime of a load report as a multiple of the time in which this balancer sends each server one request,
+/// if that is longer.
+const REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL: f64 = 8.0;
 /// A server whose queue takes longer than this part of the time left is full.
 const MAX_WAIT_FRACTION_OF_TIME_LEFT: f64 = 0.5;
 /// Answers that a server is credited with before any were seen: a few in flight at an idle one pass.
@@ -291,8 +294,8 @@
     /// has two attempts at a server, however crowded that is, and its own count tells nothing. It also asks
     /// each so seldom that it has to go by a report for longer: the jam outlasts what it last heard.
     fn estimated_load(&self, server: &Server, report_weight: f64) -> f64 {
-        let report_lifetime = (REPORT_FADES.0 * self.latency_target as f64)
-            .max(REPORT_FADES.1 * self.per_server_request_interval());
+        let report_lifetime = (REPORT_LIFETIME_MULTIPLE_OF_LATENCY_TARGET * self.latency_target as f64)
+            .max(REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL * self.per_server_request_interval());
         let freshness = 1.0 - (self.now - server.reported.at) as f64 / report_lifetime;
         let peer_fraction = 1.0 - 1.0 / f64::from(self.settings.balancer_count.max(1));
         f64::from(server.in_flight)
