--- a/src/policy.rs
+++ b/src/policy.rs
@@ -35,9 +35,11 @@
 const MAX_WAIT_FRACTION_OF_TIME_LEFT: f64 = 0.5;
 /// Answers that a server is credited with before any were seen: a few in flight at an idle one pass.
 const PRIOR_OBSERVATIONS: f64 = 2.0;
-/// Gate: outstanding origin calls of one balancer at most, or what its share brings in this part of the
-/// longest aim where that is more; it starts from half of the first, the note's default.
-const GATE_OUT: (f64, f64) = (20.0, 0.1);
+/// Gate: ceiling of the limit on origin calls in flight of one balancer. The limit starts at half of this
+/// ceiling, the default of the rate-limit note.
+const GATE_CEILING_CALLS: f64 = 20.0;
+/// Gate: the ceiling is the calls that arrive in this fraction of the longest latency target, if that is more.
+const GATE_CEILING_FRACTION_OF_LATENCY_TARGET: f64 = 0.1;
 /// Gate: its window as a part of the longest aim, short enough that what bursts over it can still wait.
 const GATE_WINDOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.25;
 /// Gate: sub-limit of fetches, of both limits; writes have the rest for themselves.
@@ -88,7 +90,7 @@
             // Until reports tell otherwise there is no room.
             server_utilization: DecayingRatio::new(PRIOR_OBSERVATIONS, PRIOR_OBSERVATIONS),
             // Calls of an earlier life of this balancer may still run: the gate opens gradually.
-            gate: Gate { limit: GATE_OUT.0 / 2.0, ..Gate::default() },
+            gate: Gate { limit: GATE_CEILING_CALLS / 2.0, ..Gate::default() },
             quota_share,
             settings,
             ..Policy::default()
@@ -657,8 +659,11 @@
         let abandoned_early =
             outcome.status.abandoned() && ((self.now - attempt.sent_at) as f64) < slow_limit;
         // A fixed cap would shut before an idle origin where requests are many and short.
-        let max_limit =
-            (self.expected_request_rate() * GATE_OUT.1 * self.latency_target as f64 / 1e6).max(GATE_OUT.0);
+        let max_limit = (self.expected_request_rate()
+            * GATE_CEILING_FRACTION_OF_LATENCY_TARGET
+            * self.latency_target as f64
+            / 1e6)
+            .max(GATE_CEILING_CALLS);
         let gate = &mut self.gate;
         let previous_limit = gate.limit;
         // What it answered can't be read, but it answered: no sign of congestion. Nor is a broken connection.
@@ -673,13 +678,13 @@
         {
             // One cut for all calls that were out together.
             gate.reduced_at = self.now;
-            gate.limit = (gate.limit * GATE_CUT.0).max(GATE_OUT.0 * GATE_CUT.1);
+            gate.limit = (gate.limit * GATE_CUT.0).max(GATE_CEILING_CALLS * GATE_CUT.1);
         }
         log_crossing(
             actions,
             previous_limit,
             gate.limit,
-            GATE_OUT.0 / 4.0,
+            GATE_CEILING_CALLS / 4.0,
             "gate lowered: origin slow",
             "gate restored",
         );
