--- a/src/policy.rs
+++ b/src/policy.rs
@@ -44,8 +44,10 @@
 const GATE_WINDOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.25;
 /// Gate: sub-limit of fetches, of both limits; writes have the rest for themselves.
 const GATE_FETCH_FRACTION_OF_LIMITS: f64 = 0.7;
-/// Gate: factor on the outstanding cap at a sign of congestion, and its floor as a part of the first ceiling.
-const GATE_CUT: (f64, f64) = (0.8, 0.1);
+/// Gate: factor by which a sign of congestion lowers the limit on calls in flight.
+const GATE_DECREASE_FACTOR: f64 = 0.8;
+/// Gate: least limit on calls in flight as a fraction of [`GATE_CEILING_CALLS`].
+const GATE_FLOOR_FRACTION_OF_CEILING: f64 = 0.1;
 /// Gate: an origin whose answers take longer than this part of the shortest aim, of late and not just one of
 /// them, is congested: some are slow at any load, and each would cut the gate.
 const ORIGIN_SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.8;
@@ -678,7 +680,8 @@
         {
             // One cut for all calls that were out together.
             gate.reduced_at = self.now;
-            gate.limit = (gate.limit * GATE_CUT.0).max(GATE_CEILING_CALLS * GATE_CUT.1);
+            gate.limit =
+                (gate.limit * GATE_DECREASE_FACTOR).max(GATE_CEILING_CALLS * GATE_FLOOR_FRACTION_OF_CEILING);
         }
         log_crossing(
             actions,
