--- a/src/policy.rs
+++ b/src/policy.rs
@@ -51,8 +51,12 @@
 /// Gate: an origin whose answers take longer than this part of the shortest aim, of late and not just one of
 /// them, is congested: some are slow at any load, and each would cut the gate.
 const ORIGIN_SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.8;
-/// Postponement: the note's 1 to 3 s against its bound of 60 s, taken as parts of the request's aim.
-const DELAY: (f64, f64) = (1.0 / 60.0, 3.0 / 60.0);
+/// Shortest backoff of a blocked call as a fraction of its latency target. The rate-limit note queues a
+/// blocked call again after a random 1 to 3 s and lets it fail after 60 s; here the latency target takes the
+/// place of the 60 s.
+const MIN_BACKOFF_FRACTION_OF_LATENCY_TARGET: f64 = 1.0 / 60.0;
+/// Longest backoff of a blocked call as a fraction of its latency target.
+const MAX_BACKOFF_FRACTION_OF_LATENCY_TARGET: f64 = 3.0 / 60.0;
 /// An attempt without answer for this part of its aim is slow, for twice this nearly late.
 const SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.4;
 /// An answer is lost that has not come after this multiple of what answers of its server take, while what was
@@ -420,7 +424,11 @@
     /// The random delay of a blocked call.
     fn jittered_backoff(&mut self, class: usize) -> Micros {
         let latency_target = self.settings.classes[class].latency_target as f64;
-        (latency_target * (DELAY.0 + (DELAY.1 - DELAY.0) * self.rng.next_unit())) as Micros + 1
+        (latency_target
+            * (MIN_BACKOFF_FRACTION_OF_LATENCY_TARGET
+                + (MAX_BACKOFF_FRACTION_OF_LATENCY_TARGET - MIN_BACKOFF_FRACTION_OF_LATENCY_TARGET)
+                    * self.rng.next_unit())) as Micros
+            + 1
     }
 
     // The one place that sends.
