--- a/src/policy.rs
+++ b/src/policy.rs
@@ -68,8 +68,10 @@
 const LOST_RETRY_COST: f64 = 0.25;
 /// Strikes in a row, with no answer between them, after which a server is set aside.
 const EJECTION_FAILURE_THRESHOLD: u32 = 3;
-/// A server is set aside for this multiple of the longest aim, doubled each time up to the second figure.
-const ASIDE: (u64, u64) = (1, 8);
+/// Shortest ejection as a multiple of the longest latency target; doubled when the trial after it fails.
+const MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 1;
+/// Longest ejection as a multiple of the longest latency target.
+const MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 8;
 /// Repeats of what may have run, and second copies, as a part of the requests, and how many at once.
 const REPEATS: (f64, f64) = (0.05, 5.0);
 /// A key is hot that was asked for before among so many requests here: a part of all, whatever N is. What a
@@ -744,9 +746,9 @@
 
     /// How long a server is set aside for at the least.
     fn min_ejection_time(&self) -> Micros {
-        (self.latency_target * ASIDE.0)
+        (self.latency_target * MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
             .max(self.per_server_request_interval() as Micros)
-            .min(self.latency_target * ASIDE.1)
+            .min(self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
     }
 
     /// A server that fails several times in a row, with no answer between, is set aside for a while.
@@ -768,8 +770,8 @@
             || (server.ejection.until == 0
                 && server.failure_count >= threshold.clamp(1, EJECTION_FAILURE_THRESHOLD))
         {
-            let duration =
-                (server.ejection.duration * 2).clamp(min_ejection_time, self.latency_target * ASIDE.1);
+            let duration = (server.ejection.duration * 2)
+                .clamp(min_ejection_time, self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET);
             server.ejection = Ejection { until: self.now + duration, duration };
             actions.push(Action::Log(format!("server {server_id} fails or is silent: set aside")));
         }
