--- a/src/policy.rs
+++ b/src/policy.rs
@@ -72,8 +72,10 @@
 const MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 1;
 /// Longest ejection as a multiple of the longest latency target.
 const MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 8;
-/// Repeats of what may have run, and second copies, as a part of the requests, and how many at once.
-const REPEATS: (f64, f64) = (0.05, 5.0);
+/// Attempts that each request adds to the budget for hedges and for retries of what may have been executed.
+const RETRY_BUDGET_ATTEMPTS_PER_REQUEST: f64 = 0.05;
+/// Largest retry budget, which limits the retries and hedges made at once.
+const MAX_RETRY_BUDGET_ATTEMPTS: f64 = 5.0;
 /// A key is hot that was asked for before among so many requests here: a part of all, whatever N is. What a
 /// key brings is judged by as many, or as many as there are servers.
 const HOT_KEY_WINDOW_REQUESTS: usize = 64;
@@ -94,7 +96,7 @@
             // of keeping one open grows with their number and the price of opening it again does not.
             close_idle_connections: f64::from(settings.balancer_count) * settings.connection_price
                 > 100.0 * settings.handshake_price,
-            retry_budget: REPEATS.1,
+            retry_budget: MAX_RETRY_BUDGET_ATTEMPTS,
             // Until reports tell otherwise there is no room.
             server_utilization: DecayingRatio::new(PRIOR_OBSERVATIONS, PRIOR_OBSERVATIONS),
             // Calls of an earlier life of this balancer may still run: the gate opens gradually.
@@ -182,7 +184,8 @@
             deadline: self.now + request.time_left.saturating_sub(margin),
             ..RequestState::default()
         };
-        self.retry_budget = (self.retry_budget + REPEATS.0).min(REPEATS.1);
+        self.retry_budget =
+            (self.retry_budget + RETRY_BUDGET_ATTEMPTS_PER_REQUEST).min(MAX_RETRY_BUDGET_ATTEMPTS);
         // A client's word for the work is taken for no more than an aim.
         let expected_work =
             request.expected_work.map_or(1.0, |work| work.clamp(1, self.latency_target) as f64);
