--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -18,8 +18,10 @@
 pub(super) const INITIAL_ADMISSION_LEVEL: f64 = 1.0;
 /// Greatest multiple of the quotas that fills the buckets; at this level nobody is held back.
 pub(super) const MAX_ADMISSION_LEVEL: f64 = 4.0;
-/// Factors on the level at a review, downwards and upwards.
-const LEVEL_STEPS: (f64, f64) = (0.92, 1.04);
+/// Factor of a full step that lowers the admission level at a review.
+const LEVEL_DECREASE_FACTOR: f64 = 0.92;
+/// Factor of a full step that raises the admission level at a review.
+const LEVEL_INCREASE_FACTOR: f64 = 1.04;
 /// A step is whole from so many attempts judged: one of many balancers sees few.
 const FULL_STEP_MIN_ATTEMPTS: f64 = 5.0;
 /// Tokens that a bucket holds beyond an aim's worth, against chance in who reaches which balancer.
@@ -91,10 +93,10 @@
         self.admission_level = match severe_overload
             || (hold_to_quotas && previous_level > INITIAL_ADMISSION_LEVEL)
         {
-            true => (previous_level * LEVEL_STEPS.0.powf(step_fraction)).max(min_level),
+            true => (previous_level * LEVEL_DECREASE_FACTOR.powf(step_fraction)).max(min_level),
             false => {
                 let max_level = if hold_to_quotas { INITIAL_ADMISSION_LEVEL } else { MAX_ADMISSION_LEVEL };
-                (previous_level * LEVEL_STEPS.1.powf(step_fraction)).min(max_level)
+                (previous_level * LEVEL_INCREASE_FACTOR.powf(step_fraction)).min(max_level)
             }
         };
         self.log_shedding_start(previous_level, actions);
