--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -28,8 +28,10 @@
 const BURST_TOKENS: f64 = 5.0;
 /// Part of the quotas that tenants may use in common: those within their quotas leave about the rest unused.
 const SHARED_BUCKET_FRACTION_OF_QUOTAS: f64 = 0.8;
-/// What a review keeps of the counts before it, while more than this many are left to judge by.
-const FADE: (f64, f64) = (0.85, 10.0);
+/// Fraction of the earlier counts that a review keeps.
+const COUNTS_KEPT_FRACTION_PER_REVIEW: f64 = 0.85;
+/// Counts decay at a review only while their total exceeds this number, so that enough remain to judge by.
+const MIN_COUNTS_TO_DECAY: f64 = 10.0;
 /// Shedding is logged no more often than this. Around its mark the level may cross many times a minute, and a
 /// line for each would hide all others.
 const SHEDDING_LOG_PERIOD_US: Micros = 30_000_000;
@@ -100,9 +102,9 @@
             }
         };
         self.log_shedding_start(previous_level, actions);
-        self.overload_signal.decay(FADE.0, FADE.1);
-        self.gate.blocked_ratio.decay(FADE.0, FADE.1);
-        self.server_utilization.decay(FADE.0, FADE.1);
+        self.overload_signal.decay(COUNTS_KEPT_FRACTION_PER_REVIEW, MIN_COUNTS_TO_DECAY);
+        self.gate.blocked_ratio.decay(COUNTS_KEPT_FRACTION_PER_REVIEW, MIN_COUNTS_TO_DECAY);
+        self.server_utilization.decay(COUNTS_KEPT_FRACTION_PER_REVIEW, MIN_COUNTS_TO_DECAY);
         self.admitted_rate.end_period(period);
         self.schedule_after(period, TimerTask::AdmissionReview);
     }
