--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,17 @@
-//! Every decision of a balancer. The types it speaks in (settings, events, actions) are in `interface.rs`.
+//! Makes every decision of one balancer in front of a fleet of cache servers: where each request is sent, and
+//! when it is deferred, retried, hedged or shed. Must not know sockets, threads or the clock: each event
+//! brings its time, and the decisions leave as actions. The types of events, actions and settings are in
+//! `interface.rs`, the state is in `state.rs`.
 //!
-//! Ordinary path: a read goes to the first server in its key's order that is not over the load bound; after
-//! a miss the value is fetched from the origin, and a write goes straight there, through a gate of an
-//! outstanding cap and a windowed tally; a call that finds the gate shut is postponed by a random delay.
-//! All else here is a departure for a failure that the code names.
+//! Normal path: every key has an order of servers, the same at all balancers. A read goes to the first server
+//! in that order whose load is below the load bound. After a cache miss the value is fetched from the origin;
+//! a write goes to the origin at once. Calls to the origin pass the gate, which limits the calls in flight
+//! and the calls per time window. A call that the gate blocks is deferred with a random backoff. All other
+//! code handles a failure, which is named there.
+//!
+//! The gate is modelled on a published rate-limit note: a counter of outstanding calls and a window of one
+//! second; blocked calls are queued again after a random 1 to 3 s and fail after 60 s. Here the window and
+//! the backoff are fractions of the latency target.
 
 mod admission;
 mod discovery_refresh;
@@ -22,8 +30,8 @@
 /// Least load bound of a server, in attempts in flight of all balancers. Without it, a fleet with little
 /// traffic would scatter its keys over the servers.
 const MIN_LOAD_BOUND_ATTEMPTS: f64 = 8.0;
-/// Fraction of the calls to the origin from which on the origin counts as full, if the gate blocks that many.
-/// The load bound rises linearly up to this point.
+/// The origin counts as full if the gate blocks at least this fraction of the calls to it. The load bound
+/// rises linearly up to this point.
 const ORIGIN_FULL_BLOCKED_FRACTION_OF_CALLS: f64 = 0.05;
 /// Lifetime of a load report as a multiple of the longest latency target. The weight of a report falls
 /// linearly to 0 over its lifetime.
@@ -31,25 +39,28 @@
 /// Lifetime of a load report as a multiple of the time in which this balancer sends each server one request,
 /// if that is longer.
 const REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL: f64 = 8.0;
-/// A server whose queue takes longer than this part of the time left is full.
+/// A server is too loaded for a request if its queue takes longer than this fraction of the time left.
 const MAX_WAIT_FRACTION_OF_TIME_LEFT: f64 = 0.5;
-/// Answers that a server is credited with before any were seen: a few in flight at an idle one pass.
+/// Observations assumed before any were made. As answers of a server, they prevent a few attempts in flight
+/// at an idle server from looking like a backlog. As load reports, they show full utilization. A slow read is
+/// hedged only if its server gave fewer recent answers than this.
 const PRIOR_OBSERVATIONS: f64 = 2.0;
 /// Gate: ceiling of the limit on origin calls in flight of one balancer. The limit starts at half of this
 /// ceiling, the default of the rate-limit note.
 const GATE_CEILING_CALLS: f64 = 20.0;
 /// Gate: the ceiling is the calls that arrive in this fraction of the longest latency target, if that is more.
 const GATE_CEILING_FRACTION_OF_LATENCY_TARGET: f64 = 0.1;
-/// Gate: its window as a part of the longest aim, short enough that what bursts over it can still wait.
+/// Gate: time window of the call limit as a fraction of the longest latency target. It is short enough that
+/// the excess of a burst can still be deferred.
 const GATE_WINDOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.25;
-/// Gate: sub-limit of fetches, of both limits; writes have the rest for themselves.
+/// Gate: fraction of both limits that fetches may use. The rest is reserved for writes.
 const GATE_FETCH_FRACTION_OF_LIMITS: f64 = 0.7;
 /// Gate: factor by which a sign of congestion lowers the limit on calls in flight.
 const GATE_DECREASE_FACTOR: f64 = 0.8;
 /// Gate: least limit on calls in flight as a fraction of [`GATE_CEILING_CALLS`].
 const GATE_FLOOR_FRACTION_OF_CEILING: f64 = 0.1;
-/// Gate: an origin whose answers take longer than this part of the shortest aim, of late and not just one of
-/// them, is congested: some are slow at any load, and each would cut the gate.
+/// Gate: the origin is congested if its smoothed response time exceeds this fraction of the shortest latency
+/// target. Single answers do not count: some are slow at any load, and each would lower the limit.
 const ORIGIN_SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.8;
 /// Shortest backoff of a blocked call as a fraction of its latency target. The rate-limit note queues a
 /// blocked call again after a random 1 to 3 s and lets it fail after 60 s; here the latency target takes the
@@ -57,18 +68,21 @@
 const MIN_BACKOFF_FRACTION_OF_LATENCY_TARGET: f64 = 1.0 / 60.0;
 /// Longest backoff of a blocked call as a fraction of its latency target.
 const MAX_BACKOFF_FRACTION_OF_LATENCY_TARGET: f64 = 3.0 / 60.0;
-/// An attempt without answer for this part of its aim is slow, for twice this nearly late.
+/// An attempt without an answer for this fraction of its latency target is slow; after twice this time it is
+/// nearly late.
 const SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.4;
-/// An answer is lost that has not come after this multiple of what answers of its server take, while what was
-/// sent there later has been answered; where answers have been lost of late, after a smaller one.
+/// An answer is presumed lost after this multiple of the server's response time if an attempt that was sent
+/// there later has been answered. If the server has lost many answers recently, a smaller multiple applies.
 const MAX_LOST_MULTIPLE_OF_RESPONSE_TIME: f64 = 6.0;
-/// What one attempt counts for in the share of answers that its server loses.
+/// Weight of one attempt in the smoothed share of answers that its server loses.
 const LOSS_RATE_SMOOTHING_FACTOR: f64 = 0.05;
-/// What the repeat of a lost call costs of the budget: it is lost in three cases of four, and not slow.
+/// Cost of retrying a lost attempt, in attempts of the retry budget. It is below 1 because in three cases of
+/// four the answer is lost and not slow.
 const LOST_RETRY_COST: f64 = 0.25;
-/// Strikes in a row, with no answer between them, after which a server is set aside.
+/// Consecutive failures without an answer between them after which a server or a zone is ejected.
 const EJECTION_FAILURE_THRESHOLD: u32 = 3;
-/// Shortest ejection as a multiple of the longest latency target; doubled when the trial after it fails.
+/// Shortest ejection as a multiple of the longest latency target. Each further ejection without an answer in
+/// between takes twice as long as the one before.
 const MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 1;
 /// Longest ejection as a multiple of the longest latency target.
 const MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 8;
@@ -76,12 +90,14 @@
 const RETRY_BUDGET_ATTEMPTS_PER_REQUEST: f64 = 0.05;
 /// Largest retry budget, which limits the retries and hedges made at once.
 const MAX_RETRY_BUDGET_ATTEMPTS: f64 = 5.0;
-/// A key is hot that was asked for before among so many requests here: a part of all, whatever N is. What a
-/// key brings is judged by as many, or as many as there are servers.
+/// Number of recent requests at this balancer among which a key that occurs more than once is hot. It
+/// corresponds to a fraction of all requests, whatever the number of balancers. The work for a key is judged
+/// by as many requests, or by as many as there are servers if that is more.
 const HOT_KEY_WINDOW_REQUESTS: usize = 64;
 
 impl Policy {
-    /// A balancer that knows its settings and nothing else yet.
+    /// Returns a balancer that knows its settings but no servers yet. The seed determines all its random
+    /// choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let latency_targets = settings.classes.iter().map(|class| class.latency_target);
         let total_quota: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
@@ -92,14 +108,14 @@
             tenant_buckets: vec![TokenBucket::default(); settings.tenants.len().max(1)],
             rng: SeededRng::new(seed),
             admission_level: INITIAL_ADMISSION_LEVEL,
-            // Held by all balancers, a connection costs more than it saves: whatever the traffic, the price
-            // of keeping one open grows with their number and the price of opening it again does not.
+            // If every balancer keeps a connection open, keeping it costs more than it saves: whatever the
+            // traffic, the cost grows with the number of balancers, while the cost of reconnecting does not.
             close_idle_connections: f64::from(settings.balancer_count) * settings.connection_price
                 > 100.0 * settings.handshake_price,
             retry_budget: MAX_RETRY_BUDGET_ATTEMPTS,
-            // Until reports tell otherwise there is no room.
+            // Until load reports arrive, servers are assumed to have no spare capacity.
             server_utilization: DecayingRatio::new(PRIOR_OBSERVATIONS, PRIOR_OBSERVATIONS),
-            // Calls of an earlier life of this balancer may still run: the gate opens gradually.
+            // Calls made before a restart of this balancer may still be running, so the gate opens gradually.
             gate: Gate { limit: GATE_CEILING_CALLS / 2.0, ..Gate::default() },
             quota_share,
             settings,
@@ -109,7 +125,7 @@
         policy
     }
 
-    /// Takes one event at a clock value and adds the actions that it calls for.
+    /// Handles an event that occurs at the time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -119,7 +135,8 @@
             Event::ServerList { kind, servers } => {
                 self.apply_server_list(kind, servers);
                 if kind == ListKind::Cached {
-                    // One without any server to send to has nothing to wait with.
+                    // Without a ready server the balancer cannot answer anything meanwhile, so the call is
+                    // not delayed.
                     let delay = self.discovery_call_spread() * self.rng.next_unit();
                     self.schedule_discovery_call(if self.ready_servers(false).next().is_some() {
                         delay as Micros
@@ -131,7 +148,7 @@
             Event::DiscoveryMoved => self.handle_discovery_move(),
             Event::Request(request) => self.handle_request(request, actions),
             Event::Outcome(outcome) => self.handle_outcome(outcome, actions),
-            // A streamed answer belongs to the client from here on: nothing is owed, and no deadline runs.
+            // A streamed answer is passed to the client from now on: no answer is owed and no deadline runs.
             Event::AnswerBegan { request, .. } | Event::ClientGone(request) => {
                 drop(self.requests.remove(&request))
             }
@@ -166,14 +183,18 @@
         }
     }
 
+    /// Schedules a task after a delay.
     fn schedule_after(&mut self, delay: Micros, task: TimerTask) {
         self.timers.schedule(self.now + delay, task);
     }
 
-    // A request arrives.
+    // Arrival of a request
 
+    /// Registers a request, sheds it if admission or its deadline requires this, and otherwise sends its
+    /// first attempt.
     fn handle_request(&mut self, request: Request, actions: &mut Vec<Action>) {
-        // Ends some ticks before its time is up, so that the answer is in time when a call comes late.
+        // Requests end some ticks early, so that the answer is in time even if the next call of this module
+        // comes late.
         let margin = 2 * self.settings.tick;
         let mut request_state = RequestState {
             class: request.class,
@@ -186,7 +207,7 @@
         };
         self.retry_budget =
             (self.retry_budget + RETRY_BUDGET_ATTEMPTS_PER_REQUEST).min(MAX_RETRY_BUDGET_ATTEMPTS);
-        // A client's word for the work is taken for no more than an aim.
+        // The work that a client states is capped at the longest latency target.
         let expected_work =
             request.expected_work.map_or(1.0, |work| work.clamp(1, self.latency_target) as f64);
         self.recent_requests.push_front((request.key, expected_work));
@@ -203,7 +224,8 @@
         self.send_next_attempt(request.id, actions);
     }
 
-    /// Chooses and makes the next call of a request that has none out.
+    /// Sends the next attempt of a request that has no attempt in flight, or ends the request if no attempt
+    /// is possible or useful.
     fn send_next_attempt(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request_state) = self.requests.get(&request_id) else { return };
         if self.now >= self.useful_until(request_state)
@@ -222,6 +244,8 @@
         }
     }
 
+    /// Returns the time until which an answer still earns value: the deadline, or the end of the latency
+    /// target if late answers earn nothing.
     fn useful_until(&self, request_state: &RequestState) -> Micros {
         if self.settings.classes[request_state.class].late_value_fraction > 0.0 {
             request_state.deadline
@@ -230,9 +254,11 @@
         }
     }
 
-    // The key's order.
+    // Choice of a server
 
-    /// The first server in the key's order within the load bound, else the first; none where that is full.
+    /// Selects the first server in the key's order that is neither ejected nor too loaded, or one of the
+    /// first few for a hot key. If there is no such server, the first of the others is selected. Returns
+    /// `None` if no server is left or the queue at the selected one would take too long.
     fn select_server(&self, request_id: RequestId) -> Option<ServerId> {
         let request_state = &self.requests[&request_id];
         let key = if request_state.key == 0 { request_id } else { request_state.key };
@@ -244,17 +270,18 @@
         let total_load =
             self.ready_servers(false).map(|server| self.estimated_load(server, 1.0)).sum::<f64>();
         let fleet_bound = bound_multiple * (total_load + 1.0) / self.total_weight;
-        // At most half per balancer.
+        // Each balancer may use at most half of the least bound, even if it is the only one.
         let min_bound = MIN_LOAD_BOUND_ATTEMPTS / f64::from(self.settings.balancer_count.max(2));
         let mut candidates = Vec::new();
         for server in self.ready_servers(false).filter(|server| {
             !request_state.tried_servers.contains(&server.entry.id) && self.slow_start_allows(key, server)
         }) {
-            // Last, not left out: when most look bad the cause is shared, and there is no better place.
+            // Ejected servers come last and are not left out: if most servers look bad, the cause is shared
+            // and no server is better.
             let ejected =
                 server.ejection.until != 0 && (self.now < server.ejection.until || server.in_flight > 0);
-            // Each request takes a report for more or less, else all balancers would skip a server, and come
-            // back, in step.
+            // Each request scales the report by its own factor between 0.5 and 1.5. Without this, all
+            // balancers would leave a server, and return to it, at the same time.
             let estimated_load = self.estimated_load(server, 0.5 + unit_hash(request_id, server.entry.id, 2));
             let over_bound = f64::from(server.in_flight)
                 >= (own_bound * self.server_weight(server)).max(min_bound)
@@ -274,7 +301,8 @@
         let preferred = candidates.iter().filter(|(penalty, ..)| *penalty == (false, false)).count();
         let replica = (unit_hash(request_id, 0, 3) * self.hot_key_replicas(key) / bound_multiple) as usize;
         let choice = candidates.get(replica.min(preferred.saturating_sub(1)));
-        // Passing over a full server for one far down the order would scatter the keys and empty the caches.
+        // If the chosen server is overloaded, the request is shed. Passing it to a server far down the order
+        // would scatter the keys and displace the contents of the caches.
         let backlog_time = |server: &Server| {
             if self.admission_level < MAX_ADMISSION_LEVEL { self.backlog_time(server) } else { 0.0 }
         };
@@ -285,14 +313,15 @@
         choice.map(|(.., server_id)| *server_id).filter(|server_id| !overloaded(&self.servers[server_id]))
     }
 
-    /// How many servers a key fills by itself, had all of them as much to do, by its part of the work that
-    /// was asked for here of late. Against keys that are too much for one server: a balancer that asks each
-    /// server hardly once in an aim never has two attempts in flight there, and its count shows no crowd.
+    /// Returns the number of servers that a key needs by its share of the recent work, if all servers were
+    /// equally loaded; 0 unless this balancer's traffic is sparse. Prevents the overload of one server by a
+    /// hot key: a balancer that sends each server hardly one request per latency target never has two
+    /// attempts in flight there, so its own count shows no overload.
     fn hot_key_replicas(&self, key: Key) -> f64 {
         let same_key = self.recent_requests.iter().filter(|(recent, _)| *recent == key).map(|(_, work)| work);
         let (count, key_work) = (same_key.clone().count() as f64, same_key.sum::<f64>());
         let total_work = self.recent_requests.iter().map(|(_, work)| work).sum::<f64>().max(1.0);
-        // Few requests tell little of a key, and one tells nothing.
+        // A few requests are weak evidence of a key's share, and a single request for it is none.
         let confidence = (self.recent_requests.len() as f64 / HOT_KEY_WINDOW_REQUESTS as f64).min(1.0)
             * (1.0 - 1.0 / count.max(1.0));
         if self.has_sparse_traffic() {
@@ -302,10 +331,14 @@
         }
     }
 
-    /// Requests that a server holds for all balancers: this one's are known, of the others' its latest report
-    /// tells, the less the older it is. Against a jam that many make together: one of a hundred hardly ever
-    /// has two attempts at a server, however crowded that is, and its own count tells nothing. It also asks
-    /// each so seldom that it has to go by a report for longer: the jam outlasts what it last heard.
+    /// Estimates the requests of all balancers in progress at a server: its own attempts are known, those of
+    /// the other balancers come from the latest load report, which weighs less with age. `report_weight`
+    /// scales the report.
+    ///
+    /// Prevents an overload that many balancers cause together: one of a hundred hardly ever has two attempts
+    /// at a server, however loaded that is, so its own count tells nothing. Such a balancer also hears from
+    /// each server so rarely that it must rely on a report for longer, else the overload would outlast the
+    /// report.
     fn estimated_load(&self, server: &Server, report_weight: f64) -> f64 {
         let report_lifetime = (REPORT_LIFETIME_MULTIPLE_OF_LATENCY_TARGET * self.latency_target as f64)
             .max(REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL * self.per_server_request_interval());
@@ -315,25 +348,29 @@
             + report_weight * peer_fraction * server.reported.count * freshness.max(0.0)
     }
 
-    /// Time in which this balancer asks each server once, where quotas tell how much it has to ask.
+    /// Returns the mean time between two requests of this balancer to one server in microseconds, derived
+    /// from the quotas; 0 if there are no quotas.
     fn per_server_request_interval(&self) -> f64 {
         if self.quota_share > 0.0 { 1e6 * self.servers.len() as f64 / self.quota_share } else { 0.0 }
     }
 
-    /// Whether this balancer is one of so many that it asks each server hardly once in an aim.
+    /// Whether this balancer is one of so many that it sends each server less than one request per latency
+    /// target.
     fn has_sparse_traffic(&self) -> bool {
         self.per_server_request_interval() > self.latency_target as f64
     }
 
-    /// Wait at a server by what its reports or the list tell of the requests that all balancers together have
-    /// there. Each request takes it for more or less, else all balancers would turn away, and come back, in
-    /// step.
+    /// Estimates the queueing time at a server, from the requests of all balancers in progress there
+    /// according to its load report or its weight in the server list. Each request scales the time by its own
+    /// factor between 0.5 and 1.5; without this, all balancers would leave a server, and return to it, at the
+    /// same time.
     fn queueing_delay(&self, request_id: RequestId, server: &Server) -> f64 {
         let delay = self.service_time * self.queued_per_core(server, self.estimated_load(server, 1.0));
         if delay > 0.0 { delay * (0.5 + unit_hash(request_id, server.entry.id, 2)) } else { 0.0 }
     }
 
-    /// Requests for each core that wait at a server that holds so many; weights are its cores, roughly.
+    /// Returns the requests waiting per core of a server with the given number in progress. The weight stands
+    /// for the number of cores, approximately.
     fn queued_per_core(&self, server: &Server, in_progress: f64) -> f64 {
         let from_report = if self.settings.weights_are_capacities {
             in_progress / self.server_weight(server) - 1.0
@@ -343,43 +380,50 @@
         from_report.max(server.requests_per_core())
     }
 
-    /// Time until a server has answered what this balancer has in flight there, at the pace of its latest
-    /// answers (Little's law), with a credit for a server that has had little to answer.
+    /// Estimates the time in which a server answers the attempts that this balancer has in flight there, at
+    /// the rate of its recent answers (Little's law). [`PRIOR_OBSERVATIONS`] prevents a server that had
+    /// little to answer from looking slow.
     fn backlog_time(&self, server: &Server) -> f64 {
         f64::from(server.in_flight) * self.latency_target as f64
             / (server.decayed_answers(self.now, self.latency_target) + PRIOR_OBSERVATIONS)
     }
 
+    /// Returns the servers that accept requests: the origin if `origin` is set, else the cache servers.
     fn ready_servers(&self, origin: bool) -> impl Iterator<Item = &Server> {
         self.servers
             .values()
             .filter(move |server| server.entry.state == ServerState::Ready && server.is_origin == origin)
     }
 
+    /// Returns the capacity of a server relative to the others; 1 if the weights in the list are not
+    /// capacities.
     fn server_weight(&self, server: &Server) -> f64 {
         if self.settings.weights_are_capacities { f64::from(server.entry.weight).max(0.01) } else { 1.0 }
     }
 
-    /// Place of a server in a key's order, the smaller the earlier (weighted rendezvous hashing): the same
-    /// at every balancer, and little moves when a server comes or goes.
+    /// Returns the rank of a server in a key's order, smallest first (weighted rendezvous hashing). The order
+    /// is the same at every balancer, and few keys move when a server joins or leaves.
     fn rendezvous_rank(&self, key: Key, server: &Server) -> f64 {
         let hash = unit_hash(key, server.entry.id, 0);
-        // The same order without the logarithm, which was most of a pick at 475 servers.
+        // With equal weights the order is the same without the logarithm, which took most of the time of a
+        // selection among 475 servers.
         if self.settings.weights_are_capacities { -hash.ln() / self.server_weight(server) } else { -hash }
     }
 
-    /// Requests a second that are this balancer's to serve.
+    /// Returns the requests per second that this balancer is expected to serve: its part of all quotas, or
+    /// the measured rate if there are none.
     fn expected_request_rate(&self) -> f64 {
         if self.quota_share > 0.0 { self.quota_share } else { self.admitted_rate.per_s }
     }
 
-    // Calls to the origin.
+    // Calls to the origin
 
+    /// Sends a fetch or a write to the origin if the gate admits it, else defers the request.
     fn send_to_origin(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let purpose = if self.requests[&request_id].write { Purpose::Write } else { Purpose::Fetch };
         let target_id = match self.settings.origin_machine_type {
             Some(_) => self.ready_servers(true).map(|server| server.entry.id).next(),
-            // Servers that fetch for themselves take writes too.
+            // Cache servers that fetch missing values themselves also accept writes.
             None => self.select_server(request_id),
         };
         match target_id.filter(|_| self.gate_admits(purpose)) {
@@ -389,9 +433,10 @@
         }
     }
 
-    /// Whether the outstanding cap and the windowed tally let one more call through. The window is hardly
-    /// longer than a call takes, so that a tally under the cap would take its place: of many balancers the
-    /// part of each is a call or two, and chance alone brings more.
+    /// Whether the limits on calls in flight and on calls per window admit one more call, which is counted in
+    /// the ratio of blocked calls. The limit per window is at least the limit in flight: the window is hardly
+    /// longer than a call, so that a lower limit would replace the other. The part of one of many balancers
+    /// is only a call or two per window, and chance alone brings more.
     fn gate_admits(&mut self, purpose: Purpose) -> bool {
         let window = self.latency_target as f64 * GATE_WINDOW_FRACTION_OF_LATENCY_TARGET;
         self.gate.advance_window(self.now, window as Micros);
@@ -408,7 +453,8 @@
         admitted
     }
 
-    /// Parks a request that a shut gate stops, for a random delay, while its answer can still earn.
+    /// Defers a request that the gate blocked by a random backoff, or ends the request if its answer would
+    /// come too late to earn value and no attempt is in flight.
     fn defer(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let delay = self.jittered_backoff(self.requests[&request_id].class);
         let request_state = &self.requests[&request_id];
@@ -426,7 +472,7 @@
         }
     }
 
-    /// The random delay of a blocked call.
+    /// Returns the random backoff of a blocked call of a class.
     fn jittered_backoff(&mut self, class: usize) -> Micros {
         let latency_target = self.settings.classes[class].latency_target as f64;
         (latency_target
@@ -436,9 +482,10 @@
             + 1
     }
 
-    // The one place that sends.
+    // Sending an attempt
 
-    /// Sends an attempt, or tells that a rule forbids it.
+    /// Sends an attempt and returns whether the rules allowed this. All attempts are sent here, so no other
+    /// code can break these rules.
     fn send_attempt(
         &mut self,
         request_id: RequestId,
@@ -493,7 +540,8 @@
         true
     }
 
-    /// No effect twice: a repeat of what may have run goes only where and while it is dropped.
+    /// Whether a request may be sent to a server without the risk of a repeated effect: what may have been
+    /// executed is sent again only where and while servers drop the repeat.
     fn may_retry_at(&self, request_state: &RequestState, server_id: ServerId) -> bool {
         let Some(&(_, first_sent_at, first_server_id)) = request_state.may_have_run.first() else {
             return true;
@@ -506,15 +554,18 @@
                     (self.servers.get(&first_server_id), self.servers.get(&server_id));
                 let same_scope =
                     first_server.zip(next_server).is_some_and(|(a, b)| a.shares_dedup_scope(b, scope));
-                // Its last byte must come within the window, and may need a new connection first.
+                // The last byte of the retry must arrive within the window, and the retry may need a new
+                // connection first.
                 let reserve = 2 * self.settings.tick + self.settings.connect_timeout.max(window / 8);
                 same_scope && self.now + reserve < first_sent_at + window
             }
         }
     }
 
-    // An attempt ends.
+    // End of an attempt
 
+    /// Handles the end of an attempt: records what it shows, then finishes the request, retries it or leaves
+    /// the decision to its other attempts.
     fn handle_outcome(&mut self, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(&(outcome.request, outcome.attempt)) else { return };
         if let Some(server) =
@@ -527,8 +578,8 @@
             server.loss_rate -= LOSS_RATE_SMOOTHING_FACTOR * server.loss_rate;
         }
         self.record_outcome(&attempt, &outcome, actions);
-        // One connection that broke, or one answer that was spoilt, says little of its server: the key's copy
-        // is there still, and the next in the order would have to fetch it.
+        // One broken connection or malformed answer says little about a server. The server stays a candidate
+        // because it holds the value; the next server in the order would have to fetch it.
         let keep_server = matches!(outcome.status, Status::Malformed | Status::Reset)
             && self
                 .servers
@@ -552,23 +603,23 @@
         if self.open_attempts(outcome.request).any(|presumed_lost| !presumed_lost)
             && outcome.status != Status::Miss
         {
-            return; // Their outcomes decide.
+            return; // The other attempts decide.
         }
         if attempt.purpose != Purpose::Read && outcome.status == Status::Rejected {
             return self.defer(outcome.request, actions);
         }
-        // Repeating what may still run adds work just when things are slow: only on a budget.
-        // Where each attempt opens a connection, one turned away has cost the server work all the same.
+        // A retry of what may still be running adds work just when servers are slow, so it uses the retry
+        // budget. If each attempt opens a connection, a rejected one has cost the server work too.
         let cost_server_work =
             self.close_idle_connections && attempt.purpose == Purpose::Read && outcome.status != Status::Miss;
         if cost_server_work || !outcome.status.never_executed() {
-            // Spoilt answers and broken connections are no sign that things are slow, and there are days with
-            // many: a budget would run out, and the attempts of each request are few anyway.
+            // Malformed answers and broken connections are no sign of slow servers and can be frequent for
+            // days. A budget would run out, and the attempts of each request are few anyway.
             let retry_cost =
                 if matches!(outcome.status, Status::Malformed | Status::Reset) { 0.0 } else { 1.0 };
             let retriable = match self.settings.classes[class].idempotency {
                 Idempotency::Idempotent => true,
-                // Where and until when its repeats are dropped, the sending looks to.
+                // `may_retry_at` checks the scope and the window of the deduplication when the retry is sent.
                 Idempotency::Deduplicated { .. } => {
                     matches!(outcome.status, Status::Malformed | Status::Error | Status::Reset)
                 }
@@ -582,7 +633,7 @@
         self.send_next_attempt(outcome.request, actions);
     }
 
-    /// What an outcome tells of its server and of the strain on the fleet, or of the origin.
+    /// Records what an outcome shows about its server, the overload of the fleet or the origin.
     fn record_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         if !attempt.presumed_lost {
             self.remove_from_in_flight(attempt);
@@ -597,7 +648,7 @@
         let queued_per_core =
             server.map_or(0.0, |server| self.queued_per_core(server, in_progress.unwrap_or(0.0)));
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
-        // The tables of the servers have no room for an idle connection from each of many balancers.
+        // The connection tables of the servers have no room for an idle connection of each of many balancers.
         if server.in_flight == 0 && self.close_idle_connections {
             actions.push(Action::CloseIdle(attempt.server));
         }
@@ -610,8 +661,10 @@
         if let Some(utilization) = utilization {
             self.server_utilization.record(utilization.min(1.0), 1.0);
         }
-        // A late answer has been counted when it became late: waiting for its end would lag the overload.
-        // What was given up unheard sooner is no answer: to clients that wait for a moment all looked well.
+        // A slow attempt was counted when it became slow; counting it at its end would delay the overload
+        // signal. An attempt that was abandoned before that without an answer is an overload signal too, if
+        // it was in flight for more than two service times: otherwise, with clients that wait only briefly,
+        // an overloaded fleet would look healthy.
         let age = self.now - attempt.sent_at;
         if age < attempt.slow_after && (!outcome.status.abandoned() || age as f64 > 2.0 * self.service_time) {
             self.overload_signal.record(
@@ -620,10 +673,10 @@
             );
         }
         match outcome.status {
-            // A server that fails each request at once looks idle and would draw ever more of them.
+            // A server that fails every request at once looks idle and would attract more and more requests.
             Status::ConnectFailed | Status::Reset | Status::Error | Status::Malformed => {
-                // Against healthy servers taken for restarted ones: connections break for many reasons, a
-                // process that is gone takes no new ones.
+                // Only a failed connection counts as a sign of a restart: established connections break for
+                // many reasons, while a terminated process accepts no new ones.
                 server.connect_failed = outcome.status == Status::ConnectFailed;
                 server.returned_error = outcome.status == Status::Error;
                 if server.connect_failed {
@@ -632,7 +685,7 @@
                 self.record_server_failure(attempt.server, actions);
             }
             Status::TimedOut => server.connect_failed = false,
-            // A second copy was quicker.
+            // The attempt was cancelled because the answer to its hedge came first.
             Status::Cancelled if self.now - attempt.sent_at >= attempt.slow_after => {
                 self.record_zone_failure(attempt.server, attempt.sent_at, actions);
             }
@@ -646,14 +699,16 @@
                 }
                 server.recent_answers = 1.0 + server.decayed_answers(self.now, attempt.latency_target);
                 server.last_answer_at = self.now;
-                // One that fails what it holds still says at once what it lacks: that is no recovery.
+                // A server that fails reads of stored values may still answer misses at once, which is no
+                // recovery.
                 if server.returned_error && outcome.status != Status::Success {
                     return;
                 }
                 server.failure_count = server.failure_count.saturating_sub(1);
                 if server.ejection.until != 0 {
                     server.ejection = Ejection::default();
-                    // It refused connections and answers again: a new process, cold, and the list is late.
+                    // The server refused connections and answers again: it is a new process with a cold cache
+                    // that the server list does not show yet.
                     if std::mem::take(&mut server.connect_failed) {
                         server.entry.started_at = server.entry.started_at.max(self.now);
                         server.slow_start_bucket =
@@ -665,15 +720,17 @@
         }
     }
 
-    /// A slow, failing or refusing origin lowers the gate's limit, within a floor; good answers restore it.
+    /// Lowers the gate's limit on calls in flight, down to a floor, when the origin is slow, failing or
+    /// rejecting calls; good answers raise the limit again. Prevents the overload of a congested origin.
     fn record_origin_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let response_time = self.servers.get(&attempt.server).map_or(0.0, |server| server.response_time);
         let slow_limit = self.origin_latency_target as f64 * ORIGIN_SLOW_FRACTION_OF_LATENCY_TARGET;
         let slow = response_time > slow_limit;
-        // Clients that wait for a moment only: that a call was given up sooner than it is slow tells nothing.
+        // A call that the client's short time-out ended before it counts as slow tells nothing about the
+        // origin.
         let abandoned_early =
             outcome.status.abandoned() && ((self.now - attempt.sent_at) as f64) < slow_limit;
-        // A fixed cap would shut before an idle origin where requests are many and short.
+        // A fixed ceiling would block calls to an idle origin if requests are many and short.
         let max_limit = (self.expected_request_rate()
             * GATE_CEILING_FRACTION_OF_LATENCY_TARGET
             * self.latency_target as f64
@@ -681,17 +738,19 @@
             .max(GATE_CEILING_CALLS);
         let gate = &mut self.gate;
         let previous_limit = gate.limit;
-        // What it answered can't be read, but it answered: no sign of congestion. Nor is a broken connection.
+        // A malformed answer and a broken connection are no signs of congestion; a malformed answer counts as
+        // good.
         if matches!(outcome.status, Status::Success | Status::Malformed) && !slow {
             gate.limit = (gate.limit + 1.0 / gate.limit).min(max_limit);
         } else if (outcome.status != Status::Reset || slow)
             && outcome.status != Status::NotSent
             && !abandoned_early
-            // It answers what came later: an answer got lost on its way, which tells nothing of the origin.
+            // The origin has answered later calls: this answer was lost on its way, which is no sign of
+            // congestion.
             && !attempt.presumed_lost
             && attempt.sent_at >= gate.reduced_at
         {
-            // One cut for all calls that were out together.
+            // Calls that were in flight together lower the limit only once.
             gate.reduced_at = self.now;
             gate.limit =
                 (gate.limit * GATE_DECREASE_FACTOR).max(GATE_CEILING_CALLS * GATE_FLOOR_FRACTION_OF_CEILING);
@@ -706,13 +765,14 @@
         );
     }
 
-    /// Against a zone that is lost: attempts in a row at its servers that failed or had no answer for long,
-    /// with none from any of them since they were sent, set all of it aside. One that asks each server seldom
-    /// would find out one after the other.
+    /// Counts an attempt that failed or had no answer for long while no server of its zone has answered since
+    /// it was sent, and ejects the whole zone after several such attempts. Without this, a balancer that
+    /// sends each server few requests would discover the failure server by server. Has no effect if no other
+    /// zone has a server that is not ejected.
     fn record_zone_failure(&mut self, server_id: ServerId, sent_at: Micros, actions: &mut Vec<Action>) {
         let Some(zone) = self.servers.get(&server_id).map(|server| server.entry.zone) else { return };
         if !self.ready_servers(false).any(|server| server.entry.zone != zone && server.ejection.until == 0) {
-            return; // There is no better place.
+            return; // No other zone is available.
         }
         let ejection_time = self.min_ejection_time();
         let zone_state = self.zones.entry(zone).or_default();
@@ -722,6 +782,7 @@
         }
         if zone_state.unanswered == EJECTION_FAILURE_THRESHOLD {
             actions.push(Action::Log(format!("zone {zone} is silent: set aside")));
+            // Checks all reads in flight now, so that those in the zone are retried at once.
             let pending_reads = self.attempts.iter().filter(|(_, attempt)| attempt.purpose == Purpose::Read);
             pending_reads.for_each(|(&(request_id, attempt_number), _)| {
                 self.timers.schedule(self.now, TimerTask::MissingAnswer(request_id, attempt_number))
@@ -735,7 +796,7 @@
         }
     }
 
-    /// Whether an attempt is out in a zone that has been silent since it was sent.
+    /// Whether an attempt was sent to a zone that has been ejected as silent and has not answered since.
     fn in_silent_zone(&self, attempt: &Attempt) -> bool {
         let zone_state = self
             .servers
@@ -747,22 +808,24 @@
         })
     }
 
-    /// How long a server is set aside for at the least.
+    /// Returns the shortest ejection of a server.
     fn min_ejection_time(&self) -> Micros {
         (self.latency_target * MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
             .max(self.per_server_request_interval() as Micros)
             .min(self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
     }
 
-    /// A server that fails several times in a row, with no answer between, is set aside for a while.
+    /// Counts a failure of a server, and ejects the server after several failures without an answer between
+    /// them or after a failed trial. Prevents further attempts at a server that is down.
     fn record_server_failure(&mut self, server_id: ServerId, actions: &mut Vec<Action>) {
         let (request_interval, min_ejection_time) =
             (self.per_server_request_interval(), self.min_ejection_time());
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.failure_count += 1;
         let trial_failed = server.ejection.until != 0 && self.now >= server.ejection.until;
-        // One that asks a server hardly once in an aim would find the same failure again and again, and to do
-        // without the server for a while costs it little; that one request is slow is no failure.
+        // A balancer that sends a server less than one request per latency target ejects it at the first
+        // failed connection or error: it would meet the same failure again and again, and loses little by
+        // doing without the server for a while. A single slow request is not such a failure.
         let definite_failure = server.connect_failed || server.returned_error;
         let threshold = if definite_failure {
             (self.latency_target as f64 / request_interval.max(1.0)).ceil() as u32
@@ -780,12 +843,13 @@
         }
     }
 
-    /// An attempt has had no answer for long: a sign of overload, and against silent and hanging servers a
-    /// strike when the server has answered nothing since.
+    /// Handles an attempt that has had no answer for long. It counts as an overload signal, and as a failure
+    /// of its server if the server has answered nothing since; this detects servers that are silent or hang.
     fn handle_slow_attempt(&mut self, request_id: RequestId, attempt_number: u16, actions: &mut Vec<Action>) {
         let Some(&attempt) = self.attempts.get(&(request_id, attempt_number)) else { return };
         let (age, check_interval) = (self.now - attempt.sent_at, attempt.slow_after + 1);
-        // Half a sign when it becomes slow, and is counted, and half when nearly late: slow is not yet lost.
+        // A slow attempt is half an overload signal, and a nearly late one the other half, since a slow
+        // attempt can still be in time. The attempt itself is counted only when it becomes slow.
         self.overload_signal.record(
             if age < attempt.latency_target && !attempt.presumed_lost { 0.5 } else { 0.0 },
             if age < check_interval * 3 / 2 { 1.0 } else { 0.0 },
@@ -799,14 +863,16 @@
         if age < attempt.latency_target {
             return self.schedule_after(check_interval, TimerTask::SlowAttempt(request_id, attempt_number));
         }
-        // One strike for one attempt: a single slow request is no sign of a sick server.
+        // Each attempt counts as one failure at most: a single slow request does not show that a server
+        // fails.
         if self.servers.get(&attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
             self.record_server_failure(attempt.server, actions);
         }
     }
 
-    /// Against a jam that reports come too late from, since they come with its answers: a server that has
-    /// answered nothing since an attempt that is nearly late holds as many as take that long.
+    /// Sets the reported load of a server that has answered nothing since a nearly late attempt was sent to
+    /// the number of requests that take as long as this attempt has waited, unless the present estimate is
+    /// higher. Detects an overload that load reports show too late, because they arrive with the answers.
     fn presume_server_overloaded(&mut self, attempt: &Attempt) {
         let Some(server) = self
             .servers
@@ -823,17 +889,19 @@
             .and_modify(|server| server.reported = ReportedRequests { count: estimated_load, at: self.now });
     }
 
-    /// How old an attempt must be for its answer to be lost. The more answers its server has lost of late,
-    /// the sooner one is more likely lost than slow: by far, at e times the odds if times are exponential, so
-    /// that the slow that are taken for lost are fewer than the share they are judged by.
+    /// Returns the time in flight in microseconds after which the answer of an attempt at a server is
+    /// presumed lost. The more answers the server lost recently, the shorter the time after which an answer
+    /// is more likely lost than slow. At that time a lost answer is e times as likely as a slow one if
+    /// response times are exponentially distributed, so that fewer slow answers are taken for lost than the
+    /// loss rate they are judged by.
     fn presumed_lost_after(&self, server_id: ServerId) -> f64 {
         self.servers.get(&server_id).map_or(0.0, |server| {
             server.response_time * (1.0 - server.loss_rate.ln()).min(MAX_LOST_MULTIPLE_OF_RESPONSE_TIME)
         })
     }
 
-    /// An attempt may be lost: it is looked at for as long as its request is owed an answer, since what its
-    /// server takes changes meanwhile.
+    /// Marks an attempt as lost when its answer is overdue, and retries it. Checks the attempt again for as
+    /// long as its request needs an answer, because the response time of the server changes meanwhile.
     fn handle_missing_answer(
         &mut self,
         request_id: RequestId,
@@ -842,7 +910,7 @@
     ) {
         let Some(&attempt) = self.attempts.get(&(request_id, attempt_number)) else { return };
         let until_lost = self.presumed_lost_after(attempt.server) - (self.now - attempt.sent_at) as f64;
-        // A connection fell silent, not the server: what was sent there later has been answered.
+        // The server has answered an attempt that was sent later: the connection failed, not the server.
         let server = self
             .servers
             .get_mut(&attempt.server)
@@ -851,8 +919,8 @@
             .filter(|_| until_lost < 0.0 && !attempt.presumed_lost)
             .map(|server| server.loss_rate += LOSS_RATE_SMOOTHING_FACTOR * (1.0 - server.loss_rate));
         if newly_lost.is_some() || (!attempt.presumed_lost && self.in_silent_zone(&attempt)) {
-            // It holds no place any more, neither in the gate nor at its server: for all its time it would
-            // look like work that is under way, and stop calls that there is room for.
+            // A lost attempt no longer counts as in flight, neither at the gate nor at its server. Otherwise
+            // it would look like running work for all its time, and block calls that there is room for.
             self.remove_from_in_flight(&attempt);
             self.attempts.insert((request_id, attempt_number), Attempt { presumed_lost: true, ..attempt });
         }
@@ -865,7 +933,8 @@
         }
     }
 
-    /// An attempt is under way no more.
+    /// Removes an attempt from the attempts in flight at its server and from those of all cache servers or
+    /// the gate.
     fn remove_from_in_flight(&mut self, attempt: &Attempt) {
         if let Some(server) = self.servers.get_mut(&attempt.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -876,7 +945,7 @@
         }
     }
 
-    /// The attempts of a request that are out, and whether each is lost.
+    /// Returns, for each attempt of a request without an outcome, whether it is presumed lost.
     fn open_attempts(&self, request_id: RequestId) -> impl Iterator<Item = bool> {
         let attempts_sent =
             self.requests.get(&request_id).map_or(0, |request_state| request_state.attempts_sent);
@@ -885,9 +954,9 @@
         })
     }
 
-    /// Against answers that are lost: the same call is made once more, where it was and then at the next
-    /// server, within the budget of repeats and, at the origin, through the gate. Without it each would cost
-    /// its request all its time.
+    /// Retries an attempt whose answer is presumed lost: a read first at the same server and then at the next
+    /// one, within the retry budget, and calls to the origin through the gate. Without this, each lost answer
+    /// would cost its request all its time.
     fn retry_lost_attempt(&mut self, request_id: RequestId, attempt: &Attempt, actions: &mut Vec<Action>) {
         let lost_count = self.open_attempts(request_id).filter(|presumed_lost| *presumed_lost).count();
         if lost_count == 0
@@ -915,8 +984,9 @@
         }
     }
 
-    /// Against a slow or silent server, of which one of many balancers sees too little to avoid it: a read
-    /// that waits long is sent to the next server too. Where it sees enough, a copy would only add a fetch.
+    /// Sends a hedge of a slow read to the next server. Handles a slow or silent server that one of many
+    /// balancers observes too rarely to avoid. A balancer that observes enough sends no hedge, which would
+    /// only add a fetch.
     fn hedge(&mut self, request_id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         let Some(request_state) = self
             .requests
@@ -944,10 +1014,11 @@
         }
     }
 
-    // A request ends.
+    // End of a request
 
-    /// At the aim, where late answers earn nothing, an attempt at a cache server only crowds out those that
-    /// can still be in time. A call to the origin runs on anyway, and its answer fills the cache.
+    /// Ends a request at its deadline, or at its latency target if late answers earn nothing. In the latter
+    /// case an attempt at a cache server would only take capacity from requests that can still be in time,
+    /// while a call to the origin continues: the origin executes it anyway, and its answer fills the cache.
     fn handle_expiry(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request_state) = self.requests.get(&request_id) else { return };
         let is_origin_call = |attempt_number| {
@@ -960,10 +1031,13 @@
         }
     }
 
-    /// The one place that gives a final answer: a refusal where a retry is harmless, else a failure.
+    /// Gives the final answer to a request that was not answered by a server: sheds it if a retry is
+    /// harmless, else reports a failure. No other code does this, so each request gets one such answer at
+    /// most.
     fn shed_or_fail(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request_state) = self.requests.get(&request_id) else { return };
-        // A quota is of answers: what was not served is given back, else one held to its quota gets less.
+        // Quotas count answers, so a request without one gets its token back. Otherwise a tenant held to its
+        // quota would get less than that.
         let charged_tenant =
             request_state.charged_tenant.filter(|_| self.admission_level >= INITIAL_ADMISSION_LEVEL);
         charged_tenant
@@ -971,8 +1045,8 @@
             .into_iter()
             .for_each(TokenBucket::refund);
         let (class, never_executed) = (request_state.class, request_state.may_have_run.is_empty());
-        // A refused client is told to come back after the delay of a blocked call, random as that is: told to
-        // wait for longer it comes back too late, and its answer takes another's place.
+        // The client is asked to retry after the random backoff of a blocked call. A longer wait would make
+        // its retry too late, and the answer would take the place of another.
         actions.push(
             match self.settings.classes[class].idempotency == Idempotency::Idempotent || never_executed {
                 true => {
@@ -986,7 +1060,8 @@
         self.requests.remove(&request_id);
     }
 
-    /// Work that nobody waits for is wasted and holds up the rest.
+    /// Cancels all attempts of a request that have no outcome, if servers allow this. Work that no client
+    /// waits for delays other requests.
     fn cancel_open_attempts(&self, request_id: RequestId, actions: &mut Vec<Action>) {
         let attempts_sent = self
             .requests
@@ -1001,8 +1076,9 @@
         );
     }
 
-    // The server list.
+    // The server list
 
+    /// Applies a received server list to the servers in force.
     fn apply_server_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         if matches!(kind, ListKind::Full | ListKind::Delta) {
             self.record_discovery_success();
@@ -1013,7 +1089,8 @@
         for entry in entries {
             let server = self.servers.entry(entry.id).or_default();
             server.is_origin = self.settings.origin_machine_type == Some(entry.machine_type);
-            // A new process starts with a clean record. One presumed cold stays so until the list knows.
+            // A new process starts without failures. A server that is presumed restarted remains so until the
+            // list shows its new start time.
             if entry.started_at > server.entry.started_at {
                 (server.failure_count, server.ejection, server.reported) = Default::default();
                 server.slow_start_bucket = LeakyBucket { level: 1.0 + self.rng.next_unit(), at: self.now };
@@ -1027,7 +1104,8 @@
                 if entry.started_at == 0 { 0 } else { entry.started_at.max(server.entry.started_at) };
             server.entry = ServerEntry { started_at, ..entry };
         }
-        // Gone and owing nothing: forgotten here, as a walk over the fleet at each review cost much CPU.
+        // Removed servers without attempts in flight are deleted here, because searching all servers at each
+        // review took much CPU time.
         self.servers.retain(|_, server| server.entry.state != ServerState::Removed || server.in_flight > 0);
         self.total_weight =
             self.ready_servers(false).map(|server| self.server_weight(server)).sum::<f64>().max(0.01);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,49 +1,55 @@
-//! Admission by tenant: how many requests of each tenant are taken in, from token buckets whose rate follows
-//! the overload signal of the attempts. Owns the level of those buckets; must not know where requests go.
+//! Admission of requests per tenant by token buckets, whose fill rate follows the overload signal of the
+//! attempts. Owns the admission level, a multiple of the quotas at which the buckets fill; must not know
+//! where requests are sent.
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Overload signals in each attempt (turned away or nearly late is one, slow a half) from which tenants are
-/// held closer to their quotas.
+/// Overload signals per attempt above which tenants are held closer to their quotas. An attempt that is
+/// rejected or nearly late is one signal, a slow attempt is half.
 const MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.06;
-/// Overload signals in each attempt from which tenants are held even below their quotas.
+/// Overload signals per attempt above which tenants are held even below their quotas.
 const SEVERE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.55;
-/// Servers that report to be busy for less than this part of their time, all in all, have room for what
-/// quotas allow and more: what is slow then is slow at single servers.
+/// Mean CPU utilization in the load reports below which the fleet has room for the quotas and more; slowness
+/// is then a matter of single servers.
 const SPARE_CAPACITY_MAX_UTILIZATION: f64 = 0.7;
-/// Least multiple of the quotas that fills the buckets: a jammed fleet heals half idle.
+/// Least admission level. A severely overloaded fleet recovers when it is half idle.
 const MIN_ADMISSION_LEVEL: f64 = 0.25;
-/// Multiple of the quotas that fills the buckets at the start.
+/// Admission level at the start: the buckets fill at the rate of the quotas.
 pub(super) const INITIAL_ADMISSION_LEVEL: f64 = 1.0;
-/// Greatest multiple of the quotas that fills the buckets; at this level nobody is held back.
+/// Greatest admission level. At this level no tenant is limited.
 pub(super) const MAX_ADMISSION_LEVEL: f64 = 4.0;
 /// Factor of a full step that lowers the admission level at a review.
 const LEVEL_DECREASE_FACTOR: f64 = 0.92;
 /// Factor of a full step that raises the admission level at a review.
 const LEVEL_INCREASE_FACTOR: f64 = 1.04;
-/// A step is whole from so many attempts judged: one of many balancers sees few.
+/// Number of attempts in a review period from which the level moves by a full step; with fewer the step is
+/// smaller, since one of many balancers observes few attempts.
 const FULL_STEP_MIN_ATTEMPTS: f64 = 5.0;
-/// Tokens that a bucket holds beyond an aim's worth, against chance in who reaches which balancer.
+/// Tokens that a bucket holds in addition to those of one latency target. Allows for chance in which balancer
+/// a tenant's requests reach.
 const BURST_TOKENS: f64 = 5.0;
-/// Part of the quotas that tenants may use in common: those within their quotas leave about the rest unused.
+/// Fraction of the quotas that all tenants may use in common. Tenants within their quotas leave about the
+/// rest unused.
 const SHARED_BUCKET_FRACTION_OF_QUOTAS: f64 = 0.8;
 /// Fraction of the earlier counts that a review keeps.
 const COUNTS_KEPT_FRACTION_PER_REVIEW: f64 = 0.85;
 /// Counts decay at a review only while their total exceeds this number, so that enough remain to judge by.
 const MIN_COUNTS_TO_DECAY: f64 = 10.0;
-/// Shedding is logged no more often than this. Around its mark the level may cross many times a minute, and a
+/// Shortest time between two log lines on shedding. The level may cross its limit many times a minute, and a
 /// line for each would hide all others.
 const SHEDDING_LOG_PERIOD_US: Micros = 30_000_000;
 
 impl Policy {
-    /// A tenant's token bucket fills with this balancer's part of its quota, times the level, so that those
-    /// furthest over are turned away first. A rate measured from the handful that one of many balancers sees
-    /// would turn away those within their quotas.
+    /// Whether a request of a tenant is admitted; charges its token bucket if so. The bucket fills at this
+    /// balancer's part of the tenant's quota times the admission level, so the tenants furthest over their
+    /// quotas are shed first. A limit from measured rates would shed tenants within their quotas, because one
+    /// of many balancers observes only a few of their requests.
     pub(super) fn admit(&mut self, request_state: &mut RequestState, tenant: usize) -> bool {
         let Some(tenant_bucket) = self.tenant_buckets.get_mut(tenant) else { return true };
-        // While all together ask for less than their quotas, chance in a small bucket turns none away.
-        // A falling level empties the buckets too: what many hold back would keep a jam going for long.
+        // While all tenants together are below their quotas, the shared bucket prevents shedding by chance in
+        // a small bucket. A falling level reduces the depth of the buckets too: tokens saved in many buckets
+        // would prolong an overload.
         let burst = (BURST_TOKENS * self.admission_level).clamp(1.0, BURST_TOKENS);
         let shared_token = self.shared_bucket.refill(
             self.now,
@@ -63,7 +69,7 @@
         admitted
     }
 
-    /// Logs that shedding over quota has begun.
+    /// Logs that shedding of tenants over their quotas has begun.
     fn log_shedding_start(&mut self, level_before: f64, actions: &mut Vec<Action>) {
         let begins = level_before >= MAX_ADMISSION_LEVEL && self.admission_level < MAX_ADMISSION_LEVEL;
         if begins && self.now >= self.shedding_log_muted_until {
@@ -72,8 +78,9 @@
         }
     }
 
-    /// Moves the level that tenants are held to, by the overload seen lately. An equal part of a quota is a
-    /// guess, and some of many balancers see several times the mean: none is held to it while there is room.
+    /// Adjusts the admission level by the recent overload signal. An equal part of a quota for each balancer
+    /// is an estimate, and some of many balancers receive several times the mean, so no tenant is held to the
+    /// estimate while the fleet has spare capacity.
     pub(super) fn review_admission_level(&mut self, actions: &mut Vec<Action>) {
         let period = (self.latency_target / 8).max(self.settings.tick).max(1);
         let previous_level = self.admission_level;
@@ -85,7 +92,8 @@
         let hold_to_quotas =
             overload > MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT && !severe_overload && !has_spare_capacity;
         let min_level = if severe_overload { MIN_ADMISSION_LEVEL } else { INITIAL_ADMISSION_LEVEL };
-        // It hastens in a jam, which grows by itself, and where few or no requests are left to judge by.
+        // The level moves by full steps during a severe overload, which grows by itself, and when few or no
+        // requests are left to judge by.
         let full_step = severe_overload
             || previous_level < INITIAL_ADMISSION_LEVEL
             || has_spare_capacity
--- a/src/policy/discovery_refresh.rs
+++ b/src/policy/discovery_refresh.rs
@@ -1,59 +1,61 @@
-//! When discovery is called. Owns the time of the next call, and keeps the calls of many balancers out of
-//! step. It must not know how a call is made, only how the last one ended.
+//! Times of the calls to discovery. Owns the time of the next call, and keeps the calls of many balancers
+//! apart. Must not know how a call is made, only how the last one ended.
 
 use crate::interface::{Action, DiscoveryFailure, Micros};
 use crate::state::*;
 
-/// Calls are spread over this part of the time within which discovery is to be asked, for each further
-/// balancer.
+/// Time over which calls are spread, for each further balancer, as a fraction of the time after which a
+/// balancer counts as notified of a change (`Settings::notified_after`).
 const SPREAD_FRACTION_PER_BALANCER: f64 = 1.0 / 150.0;
-/// So many balancers may wait in discovery's line with no harm.
+/// Number of balancers that may wait in the queue of discovery without harm.
 const BALANCERS_QUEUED_WITHOUT_HARM: u32 = 4;
-/// Calls are spread over this part of the time within which discovery is to be asked, for each balancer
-/// beyond those that may wait with no harm, where that is more.
+/// Time over which calls are spread, for each balancer beyond those that may wait without harm, as a fraction
+/// of the same time. Applies if it gives the longer spread.
 const SPREAD_FRACTION_PER_EXCESS_BALANCER: f64 = 1.0 / 40.0;
-/// What discovery has, and can be asked for, counts as notified 6 s later, however the calls before ended.
-/// What is left of that to a call itself is enough to connect and to be served: where many call, a line costs
-/// all the same time.
+/// Time after the last contact with discovery by which it must be called. What discovery has, and can be
+/// asked for, counts as notified after 6 s, however the earlier calls ended. The remaining time is enough for
+/// the call to connect and to be answered; with many callers, the queue takes the same time for all of them.
 const CALL_DUE_US: Micros = 5_500_000;
-/// So many calls have to fit into that time, as far as discovery can serve the fleet so often: the first may
-/// fail. The spread is as long as it needs for the fleet at the least, and it may need twice as long.
+/// Number of calls that must fit into that time, as far as discovery can serve the fleet that often, because
+/// the first may fail. The spread is the least time in which discovery serves the fleet; it may need twice as
+/// long.
 const CALLS_WITHIN_DUE_TIME: f64 = 2.0;
-/// Calls to a discovery that moved are spread over this time at the most: what it has to tell counts as
-/// notified 4 s after the move, so that there must be time left for the call itself.
+/// Longest time over which calls to a new address of discovery are spread. What discovery has to report
+/// counts as notified 4 s after the move, and the call itself needs the rest of that time.
 const MAX_MOVED_SPREAD_US: f64 = 2_500_000.0;
-/// Moves that follow one another within this time are answered by one call. It is less than the 1.5 s for
-/// which the former address keeps its connections.
+/// Changes of the address that follow one another within this time are answered by one call. It is less than
+/// the 1.5 s for which the former address keeps its connections.
 const MOVE_SETTLING_US: Micros = 1_000_000;
-/// After a move a call that failed is made again by then, for the same reason.
+/// Time after a move by which a failed call is made again, for the same reason as [`MAX_MOVED_SPREAD_US`].
 const MOVED_CALL_DUE_US: Micros = 3_500_000;
-/// Silences in a row, after which discovery is asked less and less often.
+/// Consecutive time-outs after which the calls back off.
 const TIMEOUTS_BEFORE_BACKOFF: u32 = 2;
-/// Cuts in a row, after which discovery is asked less and less often.
+/// Consecutive interruptions after which the calls back off.
 const INTERRUPTIONS_BEFORE_BACKOFF: u32 = 2;
-/// After a watch that was cut off it is called again within this part of the grace of a drain.
+/// After an interrupted watch, discovery is called again within this fraction of the drain grace time.
 const INTERRUPTED_SPREAD_FRACTION_OF_DRAIN_GRACE: f64 = 1.0 / 4.0;
-/// The first pause after calls that discovery took and that failed, as a part of the time within which it is
-/// to be asked.
+/// First backoff after a failed call that discovery accepted, as a fraction of the time after which a
+/// balancer counts as notified of a change.
 const INITIAL_BACKOFF_FRACTION_OF_NOTIFIED_AFTER: f64 = 1.0 / 16.0;
-/// That pause is doubled so many times.
+/// Number of times that this backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// A large fleet may be too much for discovery to serve in time. After each so many calls in a row that it
-/// took and that failed, the pause grows: else all that it came to would be calls that have waited for too
-/// long. A few such calls only tell of an outage, and must not be answered so.
+/// Number of consecutive failed calls that discovery accepted after which the backoff grows by a step. A
+/// large fleet may be too much for discovery to serve in time; without longer backoffs it would only reach
+/// calls that have waited too long. A few such failures only show an outage, and must not have this effect.
 const FAILURES_PER_OVERLOAD_STEP: u32 = 8;
-/// It grows by this factor.
+/// Factor by which each such step lengthens the backoff.
 const OVERLOAD_STEP_FACTOR: f64 = 2.0;
-/// It grows so many times.
+/// Largest number of such steps.
 const MAX_OVERLOAD_STEPS: u32 = 2;
-/// From one call to the next, the least part of the period. Constant but for this jitter, the periods keep
-/// the calls of many balancers as far apart as chance has put the first of them.
+/// Shortest time between two calls as a fraction of the period. Periods are constant except for this jitter,
+/// so the calls of many balancers stay as far apart as chance placed the first of them.
 const MIN_FRACTION_OF_PERIOD: f64 = 0.9;
 
 impl Policy {
-    /// Time over which the calls of all balancers to discovery are spread. It takes them one after another,
-    /// and one that has waited too long there fails and costs it as much: where many restart at once and
-    /// call in step, all but the first few fail, and so they do when they all call again soon.
+    /// Returns the time in microseconds over which the calls of all balancers to discovery are spread.
+    /// Discovery handles calls one after another, and a call that has waited too long there fails but costs
+    /// as much. If many balancers restart at once and call at the same time, all but the first few calls
+    /// fail, and fail again if all call again soon.
     pub(super) fn discovery_call_spread(&self) -> f64 {
         let balancer_count = self.settings.balancer_count;
         let fraction_of_all = f64::from(balancer_count.saturating_sub(1)) * SPREAD_FRACTION_PER_BALANCER;
@@ -63,8 +65,9 @@
             .min(CALL_DUE_US as f64)
     }
 
-    /// Against a call in step: a configuration may move discovery for all balancers at once. How calls ended
-    /// at its former address says nothing of those to come.
+    /// Schedules a call to the new address of discovery. One configuration may move discovery for all
+    /// balancers at once, so the calls are spread. How calls to the former address ended says nothing about
+    /// the new one.
     pub(super) fn handle_discovery_move(&mut self) {
         let spread = self.discovery_call_spread().min(MAX_MOVED_SPREAD_US) * self.rng.next_unit();
         self.discovery_failures = 0;
@@ -73,8 +76,8 @@
             self.discovery_moved_at = Some(self.now);
             return self.schedule_discovery_call(spread as Micros);
         };
-        // Configurations that follow one another would each cost discovery a call in vain: the call waits for
-        // the last of them, as long as there is time.
+        // Each configuration in a quick sequence would cost discovery a useless call, so the call waits for
+        // the last of them as long as there is time.
         if !self.discovery_can_serve_retries() {
             return self.schedule_discovery_call(spread as Micros);
         }
@@ -84,18 +87,20 @@
         self.schedule_discovery_call(settled_delay.min(latest_delay - spread).max(0.0) as Micros);
     }
 
-    /// A list has come: all that discovery had to tell is in force.
+    /// Records that a list arrived: everything that discovery had to report is in force.
     pub(super) fn record_discovery_success(&mut self) {
         self.discovery_failures = 0;
         (self.discovery_moved_at, self.discovery_call_due) = (None, None);
     }
 
-    /// What was not heard counts as notified soon after a time. A call that fails does not put that off.
+    /// Sets the time by which discovery must be called, because missed changes count as notified soon after.
+    /// A failed call does not move this time back.
     fn require_discovery_call_by(&mut self, at: Micros) {
         self.discovery_call_due = Some(self.discovery_call_due.map_or(at, |due| due.min(at)));
     }
 
-    /// One call stands for all that were asked for meanwhile: each costs discovery the same.
+    /// Schedules a call to discovery unless an earlier one is pending. One call serves all that were
+    /// requested meanwhile, since each costs discovery the same.
     pub(super) fn schedule_discovery_call(&mut self, delay: Micros) {
         let at = self.now + delay;
         if self.next_discovery_call.is_none_or(|pending| at < pending) {
@@ -104,8 +109,8 @@
         }
     }
 
-    /// A call has come to nothing, or the watch has ended: when is the next? In time for all that discovery
-    /// may have had since this balancer last heard of it, or called it.
+    /// Schedules the next call after a failed call or an ended watch. The call is in time for all changes
+    /// that discovery may have had since this balancer last had contact with it or called it.
     pub(super) fn handle_discovery_failure(
         &mut self,
         failure: DiscoveryFailure,
@@ -130,9 +135,9 @@
         )));
     }
 
-    /// The earliest and the latest that the next call would be for the load on discovery alone. A call that
-    /// it never took cost it nothing, and the next one soon finds out that it is back; one that it took cost
-    /// it as much as one that is served, so that the next ones come later each time.
+    /// Returns the earliest and the latest delay of the next call by the load on discovery alone. A call that
+    /// discovery never accepted cost it nothing, and an early next call notices its return; a call that it
+    /// accepted cost as much as a successful one, so the following calls come later each time.
     fn next_call_window(&self, failure: DiscoveryFailure, since_last_contact: f64) -> (f64, f64) {
         let (spread, initial_backoff) = (
             self.discovery_call_spread(),
@@ -141,7 +146,8 @@
         let accepted = failure != DiscoveryFailure::Unreachable;
         let grace = self.settings.drain_grace_time as f64;
         match failure {
-            // What was cut off counts as notified, and the call has to wait in line within the grace.
+            // The missed changes count as notified, and the call has to wait in the queue within the grace
+            // time.
             DiscoveryFailure::Interrupted
                 if self.discovery_failures < INTERRUPTIONS_BEFORE_BACKOFF
                     && self.discovery_can_serve_retries() =>
@@ -160,9 +166,9 @@
         }
     }
 
-    /// The latest that the next call may be, whatever the failures before. One more refusal must not make it
-    /// too late for what discovery has, so that there is time for another call behind it, as far as discovery
-    /// can serve the fleet so often.
+    /// Returns the latest delay of the next call, whatever the failures before. One more failed call must not
+    /// delay the following one too long, so there is time for another call, as far as discovery can serve the
+    /// fleet that often.
     fn latest_next_call(&self, failure: DiscoveryFailure, since_last_contact: f64) -> f64 {
         let call_due = CALL_DUE_US as f64;
         let latest = match failure {
@@ -179,8 +185,9 @@
         (latest - since_last_contact).max(0.0)
     }
 
-    /// How long it is until a call has to be made since what was not heard is about to count as notified. The
-    /// watches of a fleet may all have broken at once: even so the calls are spread.
+    /// Returns the time until a call must be made because missed changes are about to count as notified;
+    /// infinite if there is no such time. All watches of the fleet may have broken at once, so these calls
+    /// are spread too.
     fn time_until_call_due(&mut self) -> f64 {
         let Some(due) = self.discovery_call_due.filter(|_| self.discovery_can_serve_retries()) else {
             return f64::INFINITY;
@@ -190,12 +197,12 @@
         if time_left > 0.0 { time_left } else { f64::INFINITY }
     }
 
-    /// Whether discovery can serve the fleet again when calls to it have failed once.
+    /// Whether discovery can serve all balancers a second time in time after their calls failed once.
     fn discovery_can_serve_retries(&self) -> bool {
         self.discovery_call_spread() * CALLS_WITHIN_DUE_TIME <= CALL_DUE_US as f64 / CALLS_WITHIN_DUE_TIME
     }
 
-    /// By how much the pause grows since discovery is overloaded by the fleet.
+    /// Returns the factor by which the backoff grows because the fleet overloads discovery.
     fn discovery_overload_factor(&self, failure: DiscoveryFailure) -> f64 {
         let overloaded_by_fleet =
             failure != DiscoveryFailure::Unreachable && self.discovery_call_spread() >= CALL_DUE_US as f64;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,14 +1,17 @@
-//! What a cold server is sent, the part of `policy.rs` that keeps one from being pushed over.
+//! Slow start: limits the attempts sent to a server that has just started and has a cold cache, so that it
+//! does not crash under load. Owns the rate and the depth of a server's slow-start bucket; must not know how
+//! a server is selected among those that it allows.
 
 use super::HOT_KEY_WINDOW_REQUESTS;
 use crate::interface::Key;
 use crate::state::*;
 
-/// A cold server gets this multiple of a warm server's attempts, scaled by its present part of capacity.
+/// Rate of attempts at a cold server as a multiple of the rate at a warmed-up server, scaled by the cold
+/// server's present fraction of its capacity.
 const SLOW_START_RATE_MULTIPLE: f64 = 1.5;
 
 impl Policy {
-    /// Part of its capacity that a server has at the least, some time after its start.
+    /// Returns the fraction of its capacity that a server has at least, by the time since its start.
     fn capacity_fraction(&self, server: &Server) -> f64 {
         let warmed_up_fraction = self.now.saturating_sub(server.entry.started_at) as f64
             / self.settings.warm_up_time.max(1) as f64;
@@ -20,12 +23,14 @@
         }
     }
 
-    /// Against pushing a cold server over: it gets a part of its keys that grows as it warms, the same
-    /// keys from every balancer, and from each no more than a part of a warm server's requests.
+    /// Whether slow start allows a request for a key at a server. A cold server gets a fraction of its keys
+    /// that grows while the server warms up, the same keys from every balancer, and from each balancer no
+    /// more than a fraction of a warmed-up server's requests. Prevents the crash of a cold server by
+    /// overload.
     pub(super) fn slow_start_allows(&self, key: Key, server: &Server) -> bool {
         let capacity_fraction = self.capacity_fraction(server);
         let below_depth = |(level, depth)| level < depth;
-        // A hot key would come from all balancers at once, from each within its bucket.
+        // A hot key would arrive from all balancers at once, although each stays within its bucket.
         let is_hot = || {
             self.recent_requests
                 .iter()
@@ -40,9 +45,10 @@
                 && !is_hot())
     }
 
-    /// Level and depth of the bucket of attempts at a server, as cold as it is. Of many balancers the part of
-    /// each is less than one attempt: it begins with a random part of one owed, else the first attempts of
-    /// all would come at once and push the server over.
+    /// Returns the level and the depth of a server's slow-start bucket, which limits attempts in proportion
+    /// to the server's present capacity. One of many balancers may send less than one attempt, so the bucket
+    /// starts overfull by a random fraction of one attempt. Without this, the first attempts of all balancers
+    /// would arrive at once and overload the server.
     pub(super) fn slow_start_level_and_depth(&self, server: &Server) -> (f64, f64) {
         let rate = SLOW_START_RATE_MULTIPLE
             * self.capacity_fraction(server)
