--- a/src/policy.rs
+++ b/src/policy.rs
@@ -714,7 +714,7 @@
                         server.slow_start_bucket =
                             LeakyBucket { level: 1.0 + self.rng.next_unit(), at: self.now };
                     }
-                    actions.push(Action::Log(format!("server {} answers again: let back", attempt.server)));
+                    actions.push(Action::Log(format!("server {} answers again: readmitted", attempt.server)));
                 }
             }
         }
@@ -781,7 +781,7 @@
             return;
         }
         if zone_state.unanswered == EJECTION_FAILURE_THRESHOLD {
-            actions.push(Action::Log(format!("zone {zone} is silent: set aside")));
+            actions.push(Action::Log(format!("zone {zone} is silent: ejected")));
             // Checks all reads in flight now, so that those in the zone are retried at once.
             let pending_reads = self.attempts.iter().filter(|(_, attempt)| attempt.purpose == Purpose::Read);
             pending_reads.for_each(|(&(request_id, attempt_number), _)| {
