--- a/src/policy.rs
+++ b/src/policy.rs
@@ -48,7 +48,8 @@
 /// Gate: ceiling of the limit on origin calls in flight of one balancer. The limit starts at half of this
 /// ceiling, the default of the rate-limit note.
 const GATE_CEILING_CALLS: f64 = 20.0;
-/// Gate: the ceiling is the calls that arrive in this fraction of the longest latency target, if that is more.
+/// Gate: the ceiling is the number of calls that arrive in this fraction of the longest latency target, if
+/// that is more.
 const GATE_CEILING_FRACTION_OF_LATENCY_TARGET: f64 = 0.1;
 /// Gate: time window of the call limit as a fraction of the longest latency target. It is short enough that
 /// the excess of a burst can still be deferred.
@@ -816,7 +817,8 @@
     }
 
     /// Counts a failure of a server, and ejects the server after several failures without an answer between
-    /// them or after a failed trial. Prevents further attempts at a server that is down.
+    /// them or after a failed trial, which is an attempt made after its ejection has ended. Prevents further
+    /// attempts at a server that is down.
     fn record_server_failure(&mut self, server_id: ServerId, actions: &mut Vec<Action>) {
         let (request_interval, min_ejection_time) =
             (self.per_server_request_interval(), self.min_ejection_time());
