--- a/src/policy/discovery_refresh.rs
+++ b/src/policy/discovery_refresh.rs
@@ -49,7 +49,7 @@
 const MAX_OVERLOAD_STEPS: u32 = 2;
 /// Shortest time between two calls as a fraction of the period. Periods are constant except for this jitter,
 /// so the calls of many balancers stay as far apart as chance placed the first of them.
-const MIN_FRACTION_OF_PERIOD: f64 = 0.9;
+const MIN_INTERVAL_FRACTION_OF_PERIOD: f64 = 0.9;
 
 impl Policy {
     /// Returns the time in microseconds over which the calls of all balancers to discovery are spread.
@@ -121,7 +121,7 @@
         let (earliest, latest) = self.next_call_window(failure, since_last_contact as f64);
         let latest_allowed = self.latest_next_call(failure, since_last_contact as f64);
         let (earliest, latest) =
-            (earliest.min(latest_allowed * MIN_FRACTION_OF_PERIOD), latest.min(latest_allowed));
+            (earliest.min(latest_allowed * MIN_INTERVAL_FRACTION_OF_PERIOD), latest.min(latest_allowed));
         let delay =
             (earliest + (latest - earliest) * self.rng.next_unit()) * self.discovery_overload_factor(failure);
         let delay = delay.min(self.time_until_call_due()) as Micros;
@@ -161,7 +161,7 @@
             _ => {
                 let doublings = if accepted { self.discovery_failures.min(MAX_BACKOFF_DOUBLINGS) } else { 0 };
                 let period = (initial_backoff * f64::from(1 << doublings)).max(spread - since_last_contact);
-                (period * MIN_FRACTION_OF_PERIOD, period)
+                (period * MIN_INTERVAL_FRACTION_OF_PERIOD, period)
             }
         }
     }
