--- a/src/policy.rs
+++ b/src/policy.rs
@@ -851,7 +851,7 @@
         let Some(&attempt) = self.attempts.get(&(request_id, attempt_number)) else { return };
         let (age, check_interval) = (self.now - attempt.sent_at, attempt.slow_after + 1);
         // A slow attempt is half an overload signal, and a nearly late one the other half, since a slow
-        // attempt can still be in time. The attempt itself is counted only when it becomes slow.
+        // answer is not yet lost. The attempt itself is counted only when it becomes slow.
         self.overload_signal.record(
             if age < attempt.latency_target && !attempt.presumed_lost { 0.5 } else { 0.0 },
             if age < check_interval * 3 / 2 { 1.0 } else { 0.0 },
