--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -6,10 +6,10 @@
 };
 
 /// Size of a batch header.
-pub const BATCH_HEADER: usize = 20;
-const EVENT_SIZE: usize = 48;
-const ACTION_SIZE: usize = 24;
-const LINE_SIZE: usize = 22;
+pub const BATCH_HEADER_BYTES: usize = 20;
+const EVENT_RECORD_BYTES: usize = 48;
+const ACTION_RECORD_BYTES: usize = 24;
+const SERVER_ENTRY_BYTES: usize = 22;
 
 /// The header of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,25 +17,25 @@
     /// The clock, microseconds.
     pub now: Micros,
     /// Bytes that follow the header.
-    pub length: usize,
+    pub body_length: usize,
     /// Event records among them.
-    pub records: usize,
+    pub record_count: usize,
     /// Number of the batch.
-    pub number: u32,
+    pub batch_number: u32,
 }
 
 impl BatchHeader {
     /// Reads a header and checks that its records fit its length.
-    pub fn read(bytes: &[u8; BATCH_HEADER]) -> Result<Self, String> {
-        let field = |at| u32_at(bytes, at) as usize;
+    pub fn read(bytes: &[u8; BATCH_HEADER_BYTES]) -> Result<Self, String> {
+        let usize_at = |at| u32_at(bytes, at) as usize;
         let header = BatchHeader {
             now: u64_at(bytes, 0),
-            length: field(8),
-            records: field(12),
-            number: u32_at(bytes, 16),
+            body_length: usize_at(8),
+            record_count: usize_at(12),
+            batch_number: u32_at(bytes, 16),
         };
-        if header.records.saturating_mul(EVENT_SIZE) > header.length {
-            return Err(format!("batch {}: records exceed the frame's length", header.number));
+        if header.record_count.saturating_mul(EVENT_RECORD_BYTES) > header.body_length {
+            return Err(format!("batch {}: records exceed the frame's length", header.batch_number));
         }
         Ok(header)
     }
@@ -47,7 +47,7 @@
     /// An instance starts with a seed and a settings text.
     Start {
         /// The instance.
-        node: u16,
+        instance_id: u16,
         /// Its seed.
         seed: u64,
         /// Its settings.
@@ -56,94 +56,95 @@
     /// A numbered list for later records.
     List {
         /// Number of the list.
-        number: u16,
-        /// Its lines.
-        lines: Vec<ServerEntry>,
+        list_number: u16,
+        /// Its servers.
+        servers: Vec<ServerEntry>,
     },
     /// An instance is killed.
     Stop(u16),
     /// An instance hears a list by its number.
-    ListHeard {
+    ListReceived {
         /// The instance.
-        node: u16,
+        instance_id: u16,
         /// How the list relates to the one held.
         kind: ListKind,
         /// Number of the list.
-        number: u16,
+        list_number: u16,
     },
     /// Any other event of an instance.
     Event(u16, pondproxy::Event),
 }
 
 /// A call that discovery took and that failed: the simulator knows no other, and tells at once.
-fn failed_call() -> pondproxy::Event {
+fn discovery_call_failed() -> pondproxy::Event {
     pondproxy::Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 }
 }
 
-/// Reads event record `index` of the body of a frame with `records` records.
-pub fn read_record(body: &[u8], records: usize, index: usize) -> Result<Record<'_>, String> {
-    let r = &body[index * EVENT_SIZE..(index + 1) * EVENT_SIZE];
-    let tail = &body[records * EVENT_SIZE..];
-    let node = u16_at(r, 1);
-    let event = match r[0] {
-        1 => pondproxy::Event::ClientGone(u64_at(r, 3)),
-        2 => pondproxy::Event::Timer(u32_at(r, 3)),
-        3 => pondproxy::Event::Outcome(outcome(r)?),
-        4 => pondproxy::Event::Request(request(r)),
+/// Reads event record `index` of the body of a frame with `record_count` records.
+pub fn read_record(body: &[u8], record_count: usize, index: usize) -> Result<Record<'_>, String> {
+    let record = &body[index * EVENT_RECORD_BYTES..(index + 1) * EVENT_RECORD_BYTES];
+    let tail = &body[record_count * EVENT_RECORD_BYTES..];
+    let instance_id = u16_at(record, 1);
+    let event = match record[0] {
+        1 => pondproxy::Event::ClientGone(u64_at(record, 3)),
+        2 => pondproxy::Event::Timer(u32_at(record, 3)),
+        3 => pondproxy::Event::Outcome(read_outcome(record)?),
+        4 => pondproxy::Event::Request(read_request(record)),
         5 => {
-            let settings = tail_part(tail, r, 11, 1)?;
-            return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
+            let settings = tail_slice(tail, record, 11, 1)?;
+            return Ok(Record::Start { instance_id, seed: u64_at(record, 3), settings });
         }
         6 => pondproxy::Event::Probed {
-            healthy: u16_at(r, 3) == 200,
-            elapsed: u32_at(r, 5).into(),
-            server: u32_at(r, 9),
-            load: load(r, 13),
+            healthy: u16_at(record, 3) == 200,
+            elapsed: u32_at(record, 5).into(),
+            server: u32_at(record, 9),
+            load: read_load_report(record, 13),
         },
-        7 => return Ok(Record::Stop(node)),
-        8 => pondproxy::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        7 => return Ok(Record::Stop(instance_id)),
+        8 => pondproxy::Event::AnswerBegan { request: u64_at(record, 3), attempt: u16_at(record, 15) },
         9 => {
-            let part = tail_part(tail, r, 3, LINE_SIZE)?;
-            let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
-            return Ok(Record::List { number: node, lines });
+            let entries = tail_slice(tail, record, 3, SERVER_ENTRY_BYTES)?;
+            let servers =
+                entries.chunks_exact(SERVER_ENTRY_BYTES).map(read_server_entry).collect::<Result<_, _>>()?;
+            return Ok(Record::List { list_number: instance_id, servers });
         }
         10 => {
-            let kind = match r[9] {
+            let kind = match record[9] {
                 0 => ListKind::Full,
                 1 => ListKind::Cached,
                 // Which call failed, and how, the simulator does not tell.
-                2 => return Ok(Record::Event(node, failed_call())),
+                2 => return Ok(Record::Event(instance_id, discovery_call_failed())),
                 3 => ListKind::Delta,
                 other => return Err(format!("roster_change of unknown kind {other}")),
             };
-            return Ok(Record::ListHeard { node, kind, number: u16_at(r, 3) });
+            return Ok(Record::ListReceived { instance_id, kind, list_number: u16_at(record, 3) });
         }
         11 => {
-            let bytes = tail_part(tail, r, 7, 1)?.to_vec();
-            pondproxy::Event::PeerMessage { from: u32_at(r, 3), bytes }
+            let bytes = tail_slice(tail, record, 7, 1)?.to_vec();
+            pondproxy::Event::PeerMessage { from: u32_at(record, 3), bytes }
         }
         other => return Err(format!("unknown event code {other}")),
     };
-    Ok(Record::Event(node, event))
+    Ok(Record::Event(instance_id, event))
 }
 
-fn request(r: &[u8]) -> Request {
-    let marks = r[13];
+fn read_request(record: &[u8]) -> Request {
+    let flags = record[13];
     Request {
-        id: u64_at(r, 3),
-        tenant: u16_at(r, 11).into(),
-        expected_work: (marks & 1 != 0).then(|| u32_at(r, 15).into()),
-        client_retry: marks & 2 != 0,
-        write: marks & 4 != 0,
-        class: r[14].into(),
-        key: u64_at(r, 19),
-        value_bytes: f32_at(r, 27),
-        time_left: u32_at(r, 31).into(),
+        id: u64_at(record, 3),
+        tenant: u16_at(record, 11).into(),
+        expected_work: (flags & 1 != 0).then(|| u32_at(record, 15).into()),
+        client_retry: flags & 2 != 0,
+        write: flags & 4 != 0,
+        class: record[14].into(),
+        key: u64_at(record, 19),
+        value_bytes: f32_at(record, 27),
+        time_left: u32_at(record, 31).into(),
     }
 }
 
-fn outcome(r: &[u8]) -> Result<Outcome, String> {
-    let status = match u16_at(r, 22) {
+fn read_outcome(record: &[u8]) -> Result<Outcome, String> {
+    let status = match u16_at(record, 22) {
         200 => Status::Success,
         204 => Status::Miss,
         408 => Status::TimedOut,
@@ -155,73 +156,74 @@
         521 => Status::ConnectFailed,
         other => return Err(format!("unknown outcome {other}")),
     };
-    let note = match u32_at(r, 11) {
+    let lookup = match u32_at(record, 11) {
         1 => CacheLookup::Hit,
         2 => CacheLookup::Miss,
         3 => CacheLookup::MissPending,
         _ => CacheLookup::NotReported,
     };
     Ok(Outcome {
-        request: u64_at(r, 3),
-        lookup: note,
-        elapsed: u32_at(r, 15).into(),
-        attempt: u16_at(r, 19),
-        request_finished: r[21] != 0,
+        request: u64_at(record, 3),
+        lookup,
+        elapsed: u32_at(record, 15).into(),
+        attempt: u16_at(record, 19),
+        request_finished: record[21] != 0,
         status,
-        server: u32_at(r, 24),
-        load: load(r, 28),
+        server: u32_at(record, 24),
+        load: read_load_report(record, 28),
     })
 }
 
-fn load(r: &[u8], at: usize) -> LoadReport {
-    let values = std::array::from_fn(|i| f32_at(r, at + 1 + 4 * i));
-    LoadReport { count: r[at].min(4), values }
+fn read_load_report(record: &[u8], at: usize) -> LoadReport {
+    let values = std::array::from_fn(|i| f32_at(record, at + 1 + 4 * i));
+    LoadReport { count: record[at].min(4), values }
 }
 
-fn line(r: &[u8]) -> Result<ServerEntry, String> {
-    let condition = match r[9] {
+fn read_server_entry(record: &[u8]) -> Result<ServerEntry, String> {
+    let state = match record[9] {
         0 => ServerState::Removed,
         1 => ServerState::Ready,
         2 => ServerState::Draining,
         other => return Err(format!("census line with unknown condition {other}")),
     };
     Ok(ServerEntry {
-        zone: r[0],
-        started_at: u64_at(r, 1),
-        state: condition,
-        id: u32_at(r, 10),
-        cell: u16_at(r, 14),
-        machine_type: u16_at(r, 16),
-        weight: f32_at(r, 18),
+        zone: record[0],
+        started_at: u64_at(record, 1),
+        state,
+        id: u32_at(record, 10),
+        cell: u16_at(record, 14),
+        machine_type: u16_at(record, 16),
+        weight: f32_at(record, 18),
     })
 }
 
 /// The part of the tail that the field at `at` names: an offset and a count of items of `size` bytes.
-fn tail_part<'a>(tail: &'a [u8], r: &[u8], at: usize, size: usize) -> Result<&'a [u8], String> {
-    let (offset, count) = (u32_at(r, at) as usize, u32_at(r, at + 4) as usize);
+fn tail_slice<'a>(tail: &'a [u8], record: &[u8], at: usize, size: usize) -> Result<&'a [u8], String> {
+    let (offset, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
     let end = count.checked_mul(size).and_then(|n| n.checked_add(offset));
-    end.and_then(|end| tail.get(offset..end))
-        .ok_or_else(|| format!("event code {}: tail offset {offset} and count {count} leave the frame", r[0]))
+    end.and_then(|end| tail.get(offset..end)).ok_or_else(|| {
+        format!("event code {}: tail offset {offset} and count {count} leave the frame", record[0])
+    })
 }
 
-fn u16_at(b: &[u8], at: usize) -> u16 {
-    u16::from_le_bytes(bytes_at(b, at))
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes(bytes_at(bytes, offset))
 }
 
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(bytes_at(b, at))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(bytes_at(bytes, offset))
 }
 
-fn u64_at(b: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(bytes_at(b, at))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(bytes_at(bytes, offset))
 }
 
-fn f32_at(b: &[u8], at: usize) -> f32 {
-    f32::from_le_bytes(bytes_at(b, at))
+fn f32_at(bytes: &[u8], offset: usize) -> f32 {
+    f32::from_le_bytes(bytes_at(bytes, offset))
 }
 
-fn bytes_at<const N: usize>(b: &[u8], at: usize) -> [u8; N] {
-    std::array::from_fn(|i| b[at + i])
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    std::array::from_fn(|i| bytes[offset + i])
 }
 
 /// A reply under construction; its buffers are kept from batch to batch.
@@ -229,96 +231,96 @@
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
-    count: u32,
+    action_count: u32,
 }
 
 impl Reply {
     /// Adds an action of an instance.
-    pub fn push(&mut self, node: u16, action: &Action) {
-        let mut r = [0u8; ACTION_SIZE];
-        r[1..3].copy_from_slice(&node.to_le_bytes());
+    pub fn push(&mut self, instance_id: u16, action: &Action) {
+        let mut record = [0u8; ACTION_RECORD_BYTES];
+        record[1..3].copy_from_slice(&instance_id.to_le_bytes());
         match action {
-            Action::Send { request, server, timeout: give_up_after } => {
-                r[0] = 1;
-                put(&mut r, 3, &request.to_le_bytes());
-                put(&mut r, 11, &server.to_le_bytes());
-                put(&mut r, 15, &span(*give_up_after));
+            Action::Send { request, server, timeout } => {
+                record[0] = 1;
+                write_at(&mut record, 3, &request.to_le_bytes());
+                write_at(&mut record, 11, &server.to_le_bytes());
+                write_at(&mut record, 15, &encode_duration(*timeout));
             }
             Action::Refuse { request, retry_after } => {
-                r[0] = 2;
-                put(&mut r, 3, &request.to_le_bytes());
-                put(&mut r, 11, &span(*retry_after));
+                record[0] = 2;
+                write_at(&mut record, 3, &request.to_le_bytes());
+                write_at(&mut record, 11, &encode_duration(*retry_after));
             }
             Action::Fail(request) => {
-                r[0] = 3;
-                put(&mut r, 3, &request.to_le_bytes());
+                record[0] = 3;
+                write_at(&mut record, 3, &request.to_le_bytes());
             }
             Action::Cancel { request, attempt } => {
-                r[0] = 4;
-                put(&mut r, 3, &request.to_le_bytes());
-                put(&mut r, 11, &attempt.to_le_bytes());
+                record[0] = 4;
+                write_at(&mut record, 3, &request.to_le_bytes());
+                write_at(&mut record, 11, &attempt.to_le_bytes());
             }
-            Action::Timer { delay: after, token } => {
-                r[0] = 5;
-                put(&mut r, 3, &span(*after));
-                put(&mut r, 7, &token.to_le_bytes());
+            Action::Timer { delay, token } => {
+                record[0] = 5;
+                write_at(&mut record, 3, &encode_duration(*delay));
+                write_at(&mut record, 7, &token.to_le_bytes());
             }
-            Action::Probe(server) => self.name_server(&mut r, 6, *server),
-            Action::CloseIdle(server) => self.name_server(&mut r, 7, *server),
+            Action::Probe(server) => self.write_server_action(&mut record, 6, *server),
+            Action::CloseIdle(server) => self.write_server_action(&mut record, 7, *server),
             Action::Tell { to, bytes } => {
-                r[0] = 8;
-                put(&mut r, 3, &to.unwrap_or(u32::MAX).to_le_bytes());
-                self.put_tail(&mut r, 7, bytes);
+                record[0] = 8;
+                write_at(&mut record, 3, &to.unwrap_or(u32::MAX).to_le_bytes());
+                self.append_to_tail(&mut record, 7, bytes);
             }
             Action::Log(text) => {
-                r[0] = 9;
-                self.put_tail(&mut r, 3, text.as_bytes());
+                record[0] = 9;
+                self.append_to_tail(&mut record, 3, text.as_bytes());
             }
             Action::Fault(text) => {
-                r[0] = 10;
-                self.put_tail(&mut r, 3, text.as_bytes());
+                record[0] = 10;
+                self.append_to_tail(&mut record, 3, text.as_bytes());
             }
             Action::Subscribe(on) => {
-                r[0] = 11;
-                r[3] = u8::from(*on);
+                record[0] = 11;
+                record[3] = u8::from(*on);
             }
-            Action::FetchList => r[0] = 12,
+            Action::FetchList => record[0] = 12,
         }
-        self.records.extend_from_slice(&r);
-        self.count += 1;
+        self.records.extend_from_slice(&record);
+        self.action_count += 1;
     }
 
-    fn name_server(&mut self, r: &mut [u8; ACTION_SIZE], code: u8, server: ServerId) {
-        r[0] = code;
-        put(r, 3, &server.to_le_bytes());
+    fn write_server_action(&mut self, record: &mut [u8; ACTION_RECORD_BYTES], code: u8, server: ServerId) {
+        record[0] = code;
+        write_at(record, 3, &server.to_le_bytes());
     }
 
-    fn put_tail(&mut self, r: &mut [u8; ACTION_SIZE], at: usize, bytes: &[u8]) {
-        put(r, at, &(self.tail.len() as u32).to_le_bytes());
-        put(r, at + 4, &(bytes.len() as u32).to_le_bytes());
+    fn append_to_tail(&mut self, record: &mut [u8; ACTION_RECORD_BYTES], at: usize, bytes: &[u8]) {
+        write_at(record, at, &(self.tail.len() as u32).to_le_bytes());
+        write_at(record, at + 4, &(bytes.len() as u32).to_le_bytes());
         self.tail.extend_from_slice(bytes);
     }
 
-    /// Writes the reply to batch `number` into `frame` and empties itself for the next.
-    pub fn finish(&mut self, number: u32, frame: &mut Vec<u8>) {
+    /// Writes the reply to batch `batch_number` into `frame` and empties itself for the next.
+    pub fn write_frame(&mut self, batch_number: u32, frame: &mut Vec<u8>) {
         frame.clear();
-        frame.extend_from_slice(&self.count.to_le_bytes());
+        frame.extend_from_slice(&self.action_count.to_le_bytes());
         frame.extend_from_slice(&((self.records.len() + self.tail.len()) as u32).to_le_bytes());
-        frame.extend_from_slice(&number.to_le_bytes());
+        frame.extend_from_slice(&batch_number.to_le_bytes());
         frame.extend_from_slice(&self.records);
         frame.extend_from_slice(&self.tail);
         self.records.clear();
         self.tail.clear();
-        self.count = 0;
+        self.action_count = 0;
     }
 }
 
-fn put(r: &mut [u8; ACTION_SIZE], at: usize, bytes: &[u8]) {
-    r[at..at + bytes.len()].copy_from_slice(bytes);
+fn write_at(record: &mut [u8; ACTION_RECORD_BYTES], at: usize, bytes: &[u8]) {
+    record[at..at + bytes.len()].copy_from_slice(bytes);
 }
 
 /// Times of actions are signed 32-bit on the wire; longer ones are cut to the longest.
-fn span(time: Micros) -> [u8; 4] {
+fn encode_duration(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).min(i32::MAX as u32).to_le_bytes()
 }
 
@@ -326,63 +328,70 @@
 mod tests {
     use super::*;
 
-    fn encoded(action: Action) -> (Vec<u8>, Vec<u8>) {
+    fn encode(action: Action) -> (Vec<u8>, Vec<u8>) {
         let (mut reply, mut frame) = (Reply::default(), Vec::new());
         reply.push(3, &action);
-        reply.finish(12, &mut frame);
+        reply.write_frame(12, &mut frame);
         assert_eq!(u32_at(&frame, 0), 1);
         assert_eq!(u32_at(&frame, 4) as usize, frame.len() - 12);
         assert_eq!(u32_at(&frame, 8), 12);
         (frame[12..36].to_vec(), frame[36..].to_vec())
     }
 
-    fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-        let mut r = vec![0; ACTION_SIZE];
-        (r[0], r[1]) = (code, 3);
-        fields.iter().for_each(|(at, bytes)| r[*at..at + bytes.len()].copy_from_slice(bytes));
-        r
+    fn expected_record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
+        let mut record = vec![0; ACTION_RECORD_BYTES];
+        (record[0], record[1]) = (code, 3);
+        fields.iter().for_each(|(at, bytes)| record[*at..at + bytes.len()].copy_from_slice(bytes));
+        record
     }
 
     #[test]
-    fn every_action_has_its_code_and_its_fields_in_their_places() {
-        let (id, server, tail) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
-        let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
+    fn every_action_is_encoded_with_its_code_and_its_fields_at_their_offsets() {
+        let (id, server, tail_field) =
+            (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
+        let (id_bytes, server_bytes) = (id.to_le_bytes(), server.to_le_bytes());
         let cases = [
             (
                 Action::Send { request: id, server, timeout: 80_000 },
-                record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
+                expected_record(1, &[(3, &id_bytes), (11, &server_bytes), (15, &80_000u32.to_le_bytes())]),
             ),
             (
                 Action::Refuse { request: id, retry_after: 7 },
-                record(2, &[(3, &i), (11, &7u32.to_le_bytes())]),
+                expected_record(2, &[(3, &id_bytes), (11, &7u32.to_le_bytes())]),
             ),
-            (Action::Fail(id), record(3, &[(3, &i)])),
-            (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &i), (11, &[2])])),
+            (Action::Fail(id), expected_record(3, &[(3, &id_bytes)])),
+            (Action::Cancel { request: id, attempt: 2 }, expected_record(4, &[(3, &id_bytes), (11, &[2])])),
             (
                 Action::Timer { delay: 500_000, token: 77 },
-                record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
+                expected_record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
+            ),
+            (Action::Probe(server), expected_record(6, &[(3, &server_bytes)])),
+            (Action::CloseIdle(server), expected_record(7, &[(3, &server_bytes)])),
+            (
+                Action::Tell { to: None, bytes: b"hi".to_vec() },
+                expected_record(8, &[(3, &[0xff; 4]), (7, &tail_field)]),
+            ),
+            (
+                Action::Tell { to: Some(4), bytes: b"hi".to_vec() },
+                expected_record(8, &[(3, &[4]), (7, &tail_field)]),
             ),
-            (Action::Probe(server), record(6, &[(3, &s)])),
-            (Action::CloseIdle(server), record(7, &[(3, &s)])),
-            (Action::Tell { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
-            (Action::Tell { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
-            (Action::Log("hi".into()), record(9, &[(3, &tail)])),
-            (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
-            (Action::Subscribe(true), record(11, &[(3, &[1])])),
-            (Action::Subscribe(false), record(11, &[])),
-            (Action::FetchList, record(12, &[])),
+            (Action::Log("hi".into()), expected_record(9, &[(3, &tail_field)])),
+            (Action::Fault("hi".into()), expected_record(10, &[(3, &tail_field)])),
+            (Action::Subscribe(true), expected_record(11, &[(3, &[1])])),
+            (Action::Subscribe(false), expected_record(11, &[])),
+            (Action::FetchList, expected_record(12, &[])),
         ];
         for (action, expected) in cases {
-            let (got, rest) = encoded(action.clone());
-            assert_eq!(got, expected, "{action:?}");
-            let text = matches!(action, Action::Tell { .. } | Action::Log(_) | Action::Fault(_));
-            assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
+            let (record, tail) = encode(action.clone());
+            assert_eq!(record, expected, "{action:?}");
+            let has_tail = matches!(action, Action::Tell { .. } | Action::Log(_) | Action::Fault(_));
+            assert_eq!(tail, if has_tail { b"hi".to_vec() } else { Vec::new() });
         }
     }
 
     #[test]
-    fn a_request_and_an_outcome_are_read_from_their_places() {
-        let mut body = vec![0u8; 2 * EVENT_SIZE];
+    fn requests_and_outcomes_are_decoded_from_their_offsets() {
+        let mut body = vec![0u8; 2 * EVENT_RECORD_BYTES];
         body[0] = 4;
         body[3] = 9; // id
         body[11] = 1; // tenant
@@ -391,12 +400,13 @@
         body[15] = 50; // cost
         body[19] = 5; // key
         body[32] = 1; // time budget 256
-        let r = EVENT_SIZE;
-        (body[r], body[r + 3], body[r + 11], body[r + 15], body[r + 19]) = (3, 9, 3, 40, 1);
-        body[r + 21] = 1;
-        body[r + 22..r + 24].copy_from_slice(&429u16.to_le_bytes());
-        (body[r + 24], body[r + 28]) = (6, 1);
-        body[r + 29..r + 33].copy_from_slice(&1.5f32.to_le_bytes());
+        let second = EVENT_RECORD_BYTES;
+        (body[second], body[second + 3], body[second + 11], body[second + 15], body[second + 19]) =
+            (3, 9, 3, 40, 1);
+        body[second + 21] = 1;
+        body[second + 22..second + 24].copy_from_slice(&429u16.to_le_bytes());
+        (body[second + 24], body[second + 28]) = (6, 1);
+        body[second + 29..second + 33].copy_from_slice(&1.5f32.to_le_bytes());
         let request = Request {
             id: 9,
             class: 2,
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -16,163 +16,176 @@
 /// How long a call takes that is turned away at once.
 const ROUND_TRIP: Micros = 20 * MS;
 /// When the watches break, and discovery is down.
-const DOWN: Micros = 100 * SECOND;
+const OUTAGE_START: Micros = 100 * SECOND;
 /// Configurations reach one balancer after the other, so far apart.
-const APART: Micros = 400 * MS;
+const MOVE_STAGGER: Micros = 400 * MS;
 /// Each balancer gets its configurations so long after its first.
-const MOVES: [Micros; 4] = [0, 300 * MS, 700 * MS, 1_600 * MS];
+const MOVE_OFFSETS: [Micros; 4] = [0, 300 * MS, 700 * MS, 1_600 * MS];
 /// Where discovery was before a move its connections stay open for so long.
-const STAYS_OPEN: Micros = 1_500 * MS;
+const OLD_CONNECTION_LIFETIME: Micros = 1_500 * MS;
 /// What discovery has counts as notified so long after it could be asked for it, and after a signal.
 const NOTIFIED_AFTER: Micros = 6 * SECOND;
 const NOTIFIED_AFTER_SIGNAL: Micros = 4 * SECOND;
 /// Sends to a draining server must have stopped so long after that.
-const GRACE: Micros = SECOND;
+const DRAIN_GRACE: Micros = SECOND;
 
 /// What discovery does with a call that would wait for too long.
 #[derive(Clone, Copy, Debug)]
-enum Crowded {
+enum OverloadResponse {
     /// It turns it away at once, which costs it nothing. So the logs show it: of 31 nodes that called within 6 s nine
     /// were turned away after 20 ms, and the others answered every 180 ms.
-    RefusesAtOnce,
+    RejectsAtOnce,
     /// It lets it wait and turns it away then, which costs it as much as serving it.
-    RefusesLate,
+    RejectsAfterWait,
 }
 
-/// Discovery, one service at whatever address: calls are served in turn.
-struct Discovery {
-    service: Micros,
-    limit: Micros,
-    crowded: Crowded,
-    back: Micros,
+/// Discovery, one service at whatever address: calls are answered in turn.
+struct DiscoveryModel {
+    service_time: Micros,
+    max_wait: Micros,
+    overload_response: OverloadResponse,
+    available_from: Micros,
     busy_until: Micros,
 }
 
-impl Discovery {
-    /// When a call ends, and whether it is served.
+impl DiscoveryModel {
+    /// When a call ends, and whether it is answered.
     fn call(&mut self, now: Micros) -> (Micros, bool) {
-        if now < self.back {
-            return (now + self.limit, false);
+        if now < self.available_from {
+            return (now + self.max_wait, false);
         }
-        let begins = self.busy_until.max(now);
-        let served = begins <= now + self.limit;
-        match self.crowded {
-            Crowded::RefusesAtOnce if !served => return (now + ROUND_TRIP, false),
-            _ => self.busy_until = begins + self.service,
+        let begins_at = self.busy_until.max(now);
+        let answered = begins_at <= now + self.max_wait;
+        match self.overload_response {
+            OverloadResponse::RejectsAtOnce if !answered => return (now + ROUND_TRIP, false),
+            _ => self.busy_until = begins_at + self.service_time,
         }
-        (if served { self.busy_until } else { now + self.limit }, served)
+        (if answered { self.busy_until } else { now + self.max_wait }, answered)
     }
 }
 
 struct Call {
-    begun: Micros,
-    ends: Micros,
-    served: bool,
+    started_at: Micros,
+    ends_at: Micros,
+    answered: bool,
     /// When its address was given up, if it was.
-    moved: Option<Micros>,
+    moved_at: Option<Micros>,
 }
 
 struct Balancer {
-    node: Node,
-    moves: Vec<Micros>,
+    node: TestNode,
+    move_times: Vec<Micros>,
     /// The call whose answer is in force, or the watch that it became.
-    current: Option<Call>,
+    current_call: Option<Call>,
     /// Calls that it has replaced.
-    former: Vec<Call>,
+    replaced_calls: Vec<Call>,
     /// When it was notified of the drain.
-    notified: Option<Micros>,
+    notified_at: Option<Micros>,
 }
 
 impl Balancer {
-    fn start(balancers: u32, me: u32, seed: u64, first_move: Micros) -> Balancer {
-        let config =
-            Settings { balancer_count: balancers, balancer_index: me, pull_discovery: true, ..settings() };
-        let policy = Policy::new(config, seed * u64::from(balancers) + u64::from(me) + 1);
-        let mut node = Node::of(policy, vec![server(1), origin()]);
-        node.pass(SECOND);
-        node.list(ListKind::Full, vec![server(1), origin()]);
-        node.pass(DOWN - node.now);
+    fn start(balancer_count: u32, balancer_index: u32, seed: u64, first_move: Micros) -> Balancer {
+        let config = Settings { balancer_count, balancer_index, pull_discovery: true, ..settings() };
+        let policy = Policy::new(config, seed * u64::from(balancer_count) + u64::from(balancer_index) + 1);
+        let mut node = TestNode::with_policy(policy, vec![server(1), origin()]);
+        node.advance(SECOND);
+        node.server_list(ListKind::Full, vec![server(1), origin()]);
+        node.advance(OUTAGE_START - node.now);
         node.actions.clear();
-        node.event(Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 });
-        let moves = MOVES.map(|after| first_move + after).to_vec();
-        Balancer { node, moves, current: None, former: Vec::new(), notified: None }
+        node.deliver(Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 });
+        let move_times = MOVE_OFFSETS.map(|after| first_move + after).to_vec();
+        Balancer { node, move_times, current_call: None, replaced_calls: Vec::new(), notified_at: None }
     }
 
     /// Lets time pass until an instant, at which servers have been draining since another.
-    fn pass(&mut self, now: Micros, drains: Micros, discovery: &mut Discovery) {
-        self.node.pass(now - self.node.now);
+    fn advance(&mut self, now: Micros, drains_at: Micros, discovery: &mut DiscoveryModel) {
+        self.node.advance(now - self.node.now);
         if self.node.actions.contains(&Action::Subscribe(true)) {
-            self.former.extend(self.current.take());
-            let (ends, served) = discovery.call(now);
-            self.current = Some(Call { begun: now, ends, served, moved: None });
+            self.replaced_calls.extend(self.current_call.take());
+            let (ends_at, answered) = discovery.call(now);
+            self.current_call = Some(Call { started_at: now, ends_at, answered, moved_at: None });
         }
         self.node.actions.clear();
-        if self.moves.first().is_some_and(|at| *at <= now) {
-            self.moves.remove(0);
-            self.current.iter_mut().for_each(|call| call.moved = Some(now));
-            self.node.event(Event::DiscoveryMoved);
+        if self.move_times.first().is_some_and(|at| *at <= now) {
+            self.move_times.remove(0);
+            self.current_call.iter_mut().for_each(|call| call.moved_at = Some(now));
+            self.node.deliver(Event::DiscoveryMoved);
         }
-        let open = |call: &Call| call.moved.is_none_or(|at| now < at + STAYS_OPEN);
-        self.former.retain(open);
-        let tells = |call: &Call| call.served && call.ends <= now && open(call) && now >= drains;
-        if self.notified.is_none() && self.former.iter().chain(&self.current).any(tells) {
-            self.notified = Some(now);
+        let is_open = |call: &Call| call.moved_at.is_none_or(|at| now < at + OLD_CONNECTION_LIFETIME);
+        self.replaced_calls.retain(is_open);
+        let reports_drain =
+            |call: &Call| call.answered && call.ends_at <= now && is_open(call) && now >= drains_at;
+        if self.notified_at.is_none()
+            && self.replaced_calls.iter().chain(&self.current_call).any(reports_drain)
+        {
+            self.notified_at = Some(now);
         }
-        let Some(call) = self.current.as_ref().filter(|call| call.ends == now) else { return };
-        if call.served && open(call) {
-            self.node.list(ListKind::Full, vec![server(1), origin()]);
-        } else if call.moved.is_none() {
-            let unheard = now - call.begun;
-            self.current = None;
-            self.node.event(Event::DiscoveryFailed {
-                failure: DiscoveryFailure::Failed,
-                since_last_contact: unheard,
-            });
+        let Some(call) = self.current_call.as_ref().filter(|call| call.ends_at == now) else { return };
+        if call.answered && is_open(call) {
+            self.node.server_list(ListKind::Full, vec![server(1), origin()]);
+        } else if call.moved_at.is_none() {
+            let since_last_contact = now - call.started_at;
+            self.current_call = None;
+            self.node
+                .deliver(Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact });
         }
     }
 }
 
 /// By how much the balancer that is notified last is notified too late; 0 if all are in time.
-fn late(balancers: u32, seed: u64, outage: Micros, service: Micros, crowded: Crowded) -> Micros {
-    let back = DOWN + outage;
-    let drains = back + 1_600 * MS;
-    let first_move = |me: u32| drains + 800 * MS + u64::from(me) * APART;
-    let mut discovery = Discovery { service, limit: SECOND, crowded, back, busy_until: 0 };
-    let mut fleet: Vec<_> =
-        (0..balancers).map(|me| Balancer::start(balancers, me, seed, first_move(me))).collect();
-    let mut now = DOWN;
-    while fleet.iter().any(|balancer| balancer.notified.is_none()) && now < drains + 60 * SECOND {
+fn max_lateness(
+    balancer_count: u32,
+    seed: u64,
+    outage: Micros,
+    service_time: Micros,
+    overload_response: OverloadResponse,
+) -> Micros {
+    let available_from = OUTAGE_START + outage;
+    let drains_at = available_from + 1_600 * MS;
+    let first_move = |balancer_index: u32| drains_at + 800 * MS + u64::from(balancer_index) * MOVE_STAGGER;
+    let mut discovery =
+        DiscoveryModel { service_time, max_wait: SECOND, overload_response, available_from, busy_until: 0 };
+    let mut fleet: Vec<_> = (0..balancer_count)
+        .map(|balancer_index| {
+            Balancer::start(balancer_count, balancer_index, seed, first_move(balancer_index))
+        })
+        .collect();
+    let mut now = OUTAGE_START;
+    while fleet.iter().any(|balancer| balancer.notified_at.is_none()) && now < drains_at + 60 * SECOND {
         now += MS;
-        fleet.iter_mut().for_each(|balancer| balancer.pass(now, drains, &mut discovery));
+        fleet.iter_mut().for_each(|balancer| balancer.advance(now, drains_at, &mut discovery));
     }
-    let late = |(me, balancer): (usize, &Balancer)| {
-        let counts = (drains + NOTIFIED_AFTER).min(first_move(me as u32) + NOTIFIED_AFTER_SIGNAL);
-        balancer.notified.unwrap_or(now).saturating_sub(counts + GRACE)
+    let lateness = |(balancer_index, balancer): (usize, &Balancer)| {
+        let counts_as_notified_at =
+            (drains_at + NOTIFIED_AFTER).min(first_move(balancer_index as u32) + NOTIFIED_AFTER_SIGNAL);
+        balancer.notified_at.unwrap_or(now).saturating_sub(counts_as_notified_at + DRAIN_GRACE)
     };
-    fleet.iter().enumerate().map(late).max().unwrap()
+    fleet.iter().enumerate().map(lateness).max().unwrap()
 }
 
 #[test]
-fn a_drain_is_known_in_time_after_an_outage_while_discovery_is_crowded_and_moves_again_and_again() {
+fn balancers_learn_of_a_drain_in_time_after_an_outage_while_discovery_is_overloaded_and_moves() {
     let mut failures = Vec::new();
     let outages = [6_500 * MS, 14_600 * MS];
     let calls = [
-        (50 * MS, Crowded::RefusesLate),
-        (150 * MS, Crowded::RefusesLate),
-        (263 * MS, Crowded::RefusesLate),
-        (150 * MS, Crowded::RefusesAtOnce),
-        (263 * MS, Crowded::RefusesAtOnce),
+        (50 * MS, OverloadResponse::RejectsAfterWait),
+        (150 * MS, OverloadResponse::RejectsAfterWait),
+        (263 * MS, OverloadResponse::RejectsAfterWait),
+        (150 * MS, OverloadResponse::RejectsAtOnce),
+        (263 * MS, OverloadResponse::RejectsAtOnce),
     ];
-    for (balancers, plays) in [(3, 20), (6, 50), (8, 20)] {
+    for (balancer_count, runs) in [(3, 20), (6, 50), (8, 20)] {
         for outage in outages {
-            for (service, crowded) in calls {
-                let late = (0..plays).map(|seed| late(balancers, seed, outage, service, crowded));
-                let late: Vec<_> = late.filter(|late| *late > 0).collect();
-                if let Some(worst) = late.iter().max() {
-                    let (count, outage, service, worst) = (late.len(), outage / MS, service / MS, worst / MS);
+            for (service_time, overload_response) in calls {
+                let lateness = (0..runs)
+                    .map(|seed| max_lateness(balancer_count, seed, outage, service_time, overload_response));
+                let late_runs: Vec<_> = lateness.filter(|lateness| *lateness > 0).collect();
+                if let Some(worst) = late_runs.iter().max() {
+                    let (count, outage_ms, service_time_ms, worst_ms) =
+                        (late_runs.len(), outage / MS, service_time / MS, worst / MS);
                     failures.push(format!(
-                        "{balancers} balancers, {count} of {plays} late by up to {worst} ms: \
-                         outage {outage} ms, a call {service} ms, {crowded:?}"
+                        "{balancer_count} balancers, {count} of {runs} late by up to {worst_ms} ms: \
+                         outage {outage_ms} ms, a call {service_time_ms} ms, {overload_response:?}"
                     ));
                 }
             }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{ORIGIN_KIND, take_due};
+use common::{ORIGIN_MACHINE_TYPE, pop_due};
 use pondproxy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -13,61 +13,68 @@
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
-    Ask { class: usize, tenant: usize, key: Key, write: bool, budget: u64 },
-    End { which: usize, status: usize },
-    Begin { which: usize },
-    Leave { which: usize },
-    List { which: usize, condition: u8, restarted: bool },
-    Whole { mask: u32 },
-    Lost,
-    Peer { from: u32, bytes: Vec<u8> },
-    Restart,
+    SendRequest { class: usize, tenant: usize, key: Key, write: bool, time_left: u64 },
+    EndAttempt { index: usize, status_index: usize },
+    BeginAnswer { index: usize },
+    DisconnectClient { index: usize },
+    ChangeServer { index: usize, state_index: u8, restarted: bool },
+    PublishFullList { present_mask: u32 },
+    FailDiscovery,
+    SendPeerMessage { from: u32, bytes: Vec<u8> },
+    RestartBalancer,
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let ask = (0..3usize, 0..3usize, 0..12u64, any::<bool>(), 0..900_000u64);
+fn step_strategy() -> impl Strategy<Value = Step> {
+    let request_fields = (0..3usize, 0..3usize, 0..12u64, any::<bool>(), 0..900_000u64);
     prop_oneof![
         6 => (0..60_000u64).prop_map(Step::Wait),
         1 => (0..3_000_000u64).prop_map(Step::Wait),
-        10 => ask.prop_map(|(class, tenant, key, write, budget)| Step::Ask { class, tenant, key, write, budget }),
-        10 => (any::<usize>(), 0..9usize).prop_map(|(which, status)| Step::End { which, status }),
-        1 => any::<usize>().prop_map(|which| Step::Begin { which }),
-        1 => any::<usize>().prop_map(|which| Step::Leave { which }),
+        10 => request_fields.prop_map(|(class, tenant, key, write, time_left)| Step::SendRequest { class, tenant, key, write, time_left }),
+        10 => (any::<usize>(), 0..9usize).prop_map(|(index, status_index)| Step::EndAttempt { index, status_index }),
+        1 => any::<usize>().prop_map(|index| Step::BeginAnswer { index }),
+        1 => any::<usize>().prop_map(|index| Step::DisconnectClient { index }),
         2 => (any::<usize>(), 0..3u8, any::<bool>())
-            .prop_map(|(which, condition, restarted)| Step::List { which, condition, restarted }),
-        1 => any::<u32>().prop_map(|mask| Step::Whole { mask }),
-        1 => Just(Step::Lost),
-        1 => (0..4u32, proptest::collection::vec(any::<u8>(), 0..40)).prop_map(|(from, bytes)| Step::Peer { from, bytes }),
-        1 => Just(Step::Restart),
+            .prop_map(|(index, state_index, restarted)| Step::ChangeServer { index, state_index, restarted }),
+        1 => any::<u32>().prop_map(|present_mask| Step::PublishFullList { present_mask }),
+        1 => Just(Step::FailDiscovery),
+        1 => (0..4u32, proptest::collection::vec(any::<u8>(), 0..40)).prop_map(|(from, bytes)| Step::SendPeerMessage { from, bytes }),
+        1 => Just(Step::RestartBalancer),
     ]
 }
 
-fn config() -> impl Strategy<Value = Settings> {
+fn settings_strategy() -> impl Strategy<Value = Settings> {
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1..5u32, 1..5u32, 0..4usize, 0..3u8, 0.0..1.0f64).prop_map(
-        |((aside, duplicate, ask, peers, sizes), max_attempts, balancers, tenants, group, cold_share)| {
-            let group = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)];
-            let class = |effect| Class {
+        |(
+            (separate_origin, may_duplicate, pull_discovery, may_message_peers, weights_are_capacities),
+            max_attempts,
+            balancer_count,
+            tenant_count,
+            scope_index,
+            initial_capacity_share,
+        )| {
+            let scope = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(scope_index)];
+            let class = |idempotency| Class {
                 latency_target: 200_000,
                 deadline: 900_000,
-                idempotency: effect,
+                idempotency,
                 ..Class::default()
             };
             Settings {
-                balancer_count: balancers,
+                balancer_count,
                 classes: vec![
                     class(Idempotency::Idempotent),
-                    class(Idempotency::Deduplicated { scope: group, window: 300_000 }),
+                    class(Idempotency::Deduplicated { scope, window: 300_000 }),
                     class(Idempotency::NonIdempotent),
                 ],
-                tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                pull_discovery: ask,
-                origin_machine_type: aside.then_some(ORIGIN_KIND),
-                weights_are_capacities: sizes,
+                tenants: vec![Tenant { quota_per_s: 5.0 }; tenant_count],
+                pull_discovery,
+                origin_machine_type: separate_origin.then_some(ORIGIN_MACHINE_TYPE),
+                weights_are_capacities,
                 max_attempts,
-                may_duplicate: duplicate,
-                may_message_peers: peers,
-                initial_capacity_share: cold_share,
+                may_duplicate,
+                may_message_peers,
+                initial_capacity_share,
                 warm_up_time: 2_000_000,
                 ..Settings::default()
             }
@@ -75,153 +82,184 @@
     )
 }
 
-struct Owed {
+struct OpenRequest {
     class: usize,
-    ends: u64,
-    sent: Vec<Attempt>,
+    deadline: u64,
+    attempts: Vec<Attempt>,
 }
 
 #[derive(Clone)]
 struct Attempt {
     server: ServerId,
-    at: u64,
-    out: bool,
+    sent_at: u64,
+    in_flight: bool,
     may_have_run: bool,
 }
 
 /// The world around one balancer: it knows what was promised and checks every action against it.
-struct World {
+struct Environment {
     settings: Settings,
     policy: Policy,
     now: u64,
-    next: RequestId,
-    lines: BTreeMap<ServerId, ServerEntry>,
-    owed: BTreeMap<RequestId, Owed>,
+    next_request_id: RequestId,
+    server_entries: BTreeMap<ServerId, ServerEntry>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     /// Attempts out: request, number, server.
-    out: Vec<(RequestId, u16, ServerId)>,
-    timers: Vec<u64>,
-    log: Vec<Action>,
+    attempts_in_flight: Vec<(RequestId, u16, ServerId)>,
+    due_times: Vec<u64>,
+    action_log: Vec<Action>,
 }
 
-impl World {
+impl Environment {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerEntry {
+        let initial_entry = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
-            machine_type: if id >= 6 { ORIGIN_KIND } else { 0 },
+            machine_type: if id >= 6 { ORIGIN_MACHINE_TYPE } else { 0 },
             weight: id as f32,
             ..ServerEntry::default()
         };
-        let mut world = World {
+        let mut environment = Environment {
             settings,
             policy,
             now: 50_000_000,
-            next: 0,
-            lines: (0..8).map(|id| (id, line(id))).collect(),
-            owed: BTreeMap::new(),
-            out: Vec::new(),
-            timers: Vec::new(),
-            log: Vec::new(),
+            next_request_id: 0,
+            server_entries: (0..8).map(|id| (id, initial_entry(id))).collect(),
+            open_requests: BTreeMap::new(),
+            attempts_in_flight: Vec::new(),
+            due_times: Vec::new(),
+            action_log: Vec::new(),
         };
-        world.hear(ListKind::Cached);
-        world
+        environment.deliver_server_list(ListKind::Cached);
+        environment
     }
 
-    fn hear(&mut self, kind: ListKind) {
-        let servers = self.lines.values().filter(|l| l.state != ServerState::Removed).cloned().collect();
-        self.event(Event::ServerList { kind, servers });
+    fn deliver_server_list(&mut self, kind: ListKind) {
+        let servers = self
+            .server_entries
+            .values()
+            .filter(|entry| entry.state != ServerState::Removed)
+            .cloned()
+            .collect();
+        self.deliver(Event::ServerList { kind, servers });
     }
 
-    fn event(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.check(action);
+            self.check_action(action);
         }
-        self.log.extend(actions);
+        self.action_log.extend(actions);
     }
 
-    fn check(&mut self, action: &Action) {
+    fn check_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, server, .. } => {
-                let owed = self.owed.get(request).expect("a send for a request that has ended");
-                let line = &self.lines[server];
-                assert_eq!(line.state, ServerState::Ready, "a send to a draining or gone server");
-                assert!(owed.sent.len() < self.settings.max_attempts as usize, "too many attempts");
-                assert!(self.now < owed.ends, "a send after the request's time");
-                assert!(self.settings.may_duplicate || owed.sent.iter().all(|a| !a.out), "two copies out");
-                let running: Vec<_> = owed.sent.iter().filter(|a| a.may_have_run).collect();
-                match self.settings.classes[owed.class].idempotency {
+                let open_request =
+                    self.open_requests.get(request).expect("a send for a request that has ended");
+                let entry = &self.server_entries[server];
+                assert_eq!(entry.state, ServerState::Ready, "a send to a draining or gone server");
+                assert!(
+                    open_request.attempts.len() < self.settings.max_attempts as usize,
+                    "too many attempts"
+                );
+                assert!(self.now < open_request.deadline, "a send after the request's time");
+                assert!(
+                    self.settings.may_duplicate || open_request.attempts.iter().all(|a| !a.in_flight),
+                    "two copies out"
+                );
+                let possibly_executed: Vec<_> =
+                    open_request.attempts.iter().filter(|a| a.may_have_run).collect();
+                match self.settings.classes[open_request.class].idempotency {
                     Idempotency::Idempotent => {}
-                    Idempotency::NonIdempotent => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Idempotency::Deduplicated { scope: group, window } => {
-                        for a in running {
-                            let first = &self.lines[&a.server];
-                            let same = match group {
+                    Idempotency::NonIdempotent => {
+                        assert!(possibly_executed.is_empty(), "an unsafe request sent twice")
+                    }
+                    Idempotency::Deduplicated { scope, window } => {
+                        for a in possibly_executed {
+                            let first_server = &self.server_entries[&a.server];
+                            let in_scope = match scope {
                                 DedupScope::All => true,
-                                DedupScope::Zone => first.zone == line.zone,
-                                DedupScope::Cell => first.cell == line.cell,
+                                DedupScope::Zone => first_server.zone == entry.zone,
+                                DedupScope::Cell => first_server.cell == entry.cell,
                             };
-                            assert!(same && self.now < a.at + window, "a keyed request outside its group");
+                            assert!(
+                                in_scope && self.now < a.sent_at + window,
+                                "a keyed request outside its group"
+                            );
                         }
                     }
                 }
-                let attempt = Attempt { server: *server, at: self.now, out: true, may_have_run: true };
-                let owed = self.owed.get_mut(request).unwrap();
-                self.out.push((*request, owed.sent.len() as u16, *server));
-                owed.sent.push(attempt);
+                let attempt =
+                    Attempt { server: *server, sent_at: self.now, in_flight: true, may_have_run: true };
+                let open_request = self.open_requests.get_mut(request).unwrap();
+                self.attempts_in_flight.push((*request, open_request.attempts.len() as u16, *server));
+                open_request.attempts.push(attempt);
             }
             Action::Refuse { request, .. } => {
-                let owed = self.owed.remove(request).expect("a second final answer");
-                let safe = self.settings.classes[owed.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || owed.sent.iter().all(|a| !a.may_have_run), "a refusal of what may have run");
+                let open_request = self.open_requests.remove(request).expect("a second final answer");
+                let idempotent =
+                    self.settings.classes[open_request.class].idempotency == Idempotency::Idempotent;
+                assert!(
+                    idempotent || open_request.attempts.iter().all(|a| !a.may_have_run),
+                    "a refusal of what may have run"
+                );
             }
             Action::Fail(request) => {
-                self.owed.remove(request).expect("a second final answer");
+                self.open_requests.remove(request).expect("a second final answer");
             }
-            Action::Timer { delay: after, .. } => self.timers.push(self.now + (*after).max(1)),
+            Action::Timer { delay, .. } => self.due_times.push(self.now + (*delay).max(1)),
             Action::Tell { bytes, .. } => assert!(self.settings.may_message_peers && bytes.len() <= 256),
             Action::Probe(_) | Action::Cancel { .. } => panic!("not allowed here"),
             _ => {}
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         let end = self.now + time;
-        while let Some(due) = take_due(&mut self.timers, end) {
+        while let Some(due) = pop_due(&mut self.due_times, end) {
             self.now = due;
-            self.event(Event::Timer(0));
+            self.deliver(Event::Timer(0));
             let now = self.now;
-            assert!(self.owed.values().all(|o| now < o.ends), "a request without an answer at its end");
+            assert!(
+                self.open_requests.values().all(|o| now < o.deadline),
+                "a request without an answer at its end"
+            );
         }
         self.now = end;
         let now = self.now;
-        assert!(self.owed.values().all(|o| now <= o.ends), "a request without an answer at its end");
+        assert!(
+            self.open_requests.values().all(|o| now <= o.deadline),
+            "a request without an answer at its end"
+        );
     }
 
-    fn step(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
-            Step::Wait(time) => self.pass(*time),
-            Step::Ask { class, tenant, key, write, budget } => {
+            Step::Wait(time) => self.advance(*time),
+            Step::SendRequest { class, tenant, key, write, time_left } => {
                 let tenant = tenant % self.settings.tenants.len().max(1);
                 let request = Request {
-                    id: self.next,
+                    id: self.next_request_id,
                     class: *class,
                     tenant,
                     key: *key,
                     write: *write,
-                    time_left: *budget,
+                    time_left: *time_left,
                     ..Request::default()
                 };
-                let owed = Owed { class: *class, ends: self.now + budget, sent: Vec::new() };
-                self.owed.insert(self.next, owed);
-                self.next += 1;
-                self.event(Event::Request(request));
+                let open_request =
+                    OpenRequest { class: *class, deadline: self.now + time_left, attempts: Vec::new() };
+                self.open_requests.insert(self.next_request_id, open_request);
+                self.next_request_id += 1;
+                self.deliver(Event::Request(request));
             }
-            Step::End { which, status } if !self.out.is_empty() => {
-                let (request, attempt, server) = self.out.swap_remove(which % self.out.len());
+            Step::EndAttempt { index, status_index } if !self.attempts_in_flight.is_empty() => {
+                let (request, attempt, server) =
+                    self.attempts_in_flight.swap_remove(index % self.attempts_in_flight.len());
                 let status = [
                     Status::Success,
                     Status::Miss,
@@ -232,69 +270,69 @@
                     Status::Reset,
                     Status::Success,
                     Status::Miss,
-                ][*status];
-                if let Some(owed) = self.owed.get_mut(&request) {
-                    let a = &mut owed.sent[usize::from(attempt)];
-                    a.out = false;
+                ][*status_index];
+                if let Some(open_request) = self.open_requests.get_mut(&request) {
+                    let a = &mut open_request.attempts[usize::from(attempt)];
+                    a.in_flight = false;
                     a.may_have_run &= !status.never_executed();
                 }
                 if status == Status::Success {
-                    self.owed.remove(&request);
+                    self.open_requests.remove(&request);
                 }
-                let over = !self.owed.contains_key(&request);
-                let (note, load) = (CacheLookup::NotReported, LoadReport::default());
-                self.event(Event::Outcome(Outcome {
+                let request_finished = !self.open_requests.contains_key(&request);
+                let (lookup, load) = (CacheLookup::NotReported, LoadReport::default());
+                self.deliver(Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    request_finished: over,
-                    lookup: note,
+                    request_finished,
+                    lookup,
                     elapsed: 1,
                     load,
                 }));
             }
-            Step::Begin { which } if !self.out.is_empty() => {
-                let (request, attempt, _) = self.out[which % self.out.len()];
-                self.owed.remove(&request);
-                self.event(Event::AnswerBegan { request, attempt });
+            Step::BeginAnswer { index } if !self.attempts_in_flight.is_empty() => {
+                let (request, attempt, _) = self.attempts_in_flight[index % self.attempts_in_flight.len()];
+                self.open_requests.remove(&request);
+                self.deliver(Event::AnswerBegan { request, attempt });
             }
-            Step::Leave { which } if !self.owed.is_empty() => {
-                let id = *self.owed.keys().nth(which % self.owed.len()).unwrap();
-                self.owed.remove(&id);
-                self.event(Event::ClientGone(id));
+            Step::DisconnectClient { index } if !self.open_requests.is_empty() => {
+                let id = *self.open_requests.keys().nth(index % self.open_requests.len()).unwrap();
+                self.open_requests.remove(&id);
+                self.deliver(Event::ClientGone(id));
             }
-            Step::List { which, condition, restarted } => {
-                let id = (which % self.lines.len()) as ServerId;
-                let line = self.lines.get_mut(&id).unwrap();
-                line.state = [ServerState::Ready, ServerState::Draining, ServerState::Removed]
-                    [usize::from(*condition)];
-                line.started_at = if *restarted { self.now } else { line.started_at };
-                let servers = vec![line.clone()];
-                self.event(Event::ServerList { kind: ListKind::Delta, servers });
+            Step::ChangeServer { index, state_index, restarted } => {
+                let id = (index % self.server_entries.len()) as ServerId;
+                let entry = self.server_entries.get_mut(&id).unwrap();
+                entry.state = [ServerState::Ready, ServerState::Draining, ServerState::Removed]
+                    [usize::from(*state_index)];
+                entry.started_at = if *restarted { self.now } else { entry.started_at };
+                let servers = vec![entry.clone()];
+                self.deliver(Event::ServerList { kind: ListKind::Delta, servers });
             }
-            Step::Whole { mask } => {
-                for (id, line) in &mut self.lines {
-                    let there = mask >> id & 1 == 1;
-                    line.state = if there { ServerState::Ready } else { ServerState::Removed };
+            Step::PublishFullList { present_mask } => {
+                for (id, entry) in &mut self.server_entries {
+                    let present = present_mask >> id & 1 == 1;
+                    entry.state = if present { ServerState::Ready } else { ServerState::Removed };
                 }
-                self.hear(ListKind::Full);
+                self.deliver_server_list(ListKind::Full);
             }
-            Step::Lost => {
-                self.event(Event::DiscoveryFailed {
+            Step::FailDiscovery => {
+                self.deliver(Event::DiscoveryFailed {
                     failure: DiscoveryFailure::Failed,
                     since_last_contact: 0,
                 });
             }
-            Step::Peer { from, bytes } => {
-                self.event(Event::PeerMessage { from: *from, bytes: bytes.clone() });
+            Step::SendPeerMessage { from, bytes } => {
+                self.deliver(Event::PeerMessage { from: *from, bytes: bytes.clone() });
             }
-            Step::Restart => {
+            Step::RestartBalancer => {
                 self.policy = Policy::new(self.settings.clone(), 4);
-                self.owed.clear();
-                self.out.clear();
-                self.timers.clear();
-                self.hear(ListKind::Cached);
+                self.open_requests.clear();
+                self.attempts_in_flight.clear();
+                self.due_times.clear();
+                self.deliver_server_list(ListKind::Cached);
             }
             _ => {}
         }
@@ -302,20 +340,20 @@
 }
 
 #[test]
-fn the_rules_hold_over_random_events_and_the_same_events_give_the_same_actions() {
-    let config_of_runs = Config { cases: 400, failure_persistence: None, ..Config::default() };
+fn invariants_hold_for_random_events_and_the_same_events_give_the_same_actions() {
+    let runner_config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = TestRunner::new_with_rng(config_of_runs, rng);
-    let strategy = (config(), proptest::collection::vec(step(), 1..150));
+    let mut runner = TestRunner::new_with_rng(runner_config, rng);
+    let strategy = (settings_strategy(), proptest::collection::vec(step_strategy(), 1..150));
     let result = runner.run(&strategy, |(settings, steps)| {
-        let play = || {
-            let mut world = World::new(settings.clone());
-            steps.iter().for_each(|s| world.step(s));
-            world.pass(2_000_000);
-            assert!(world.owed.is_empty(), "everything is answered in the end");
-            world.log
+        let run_steps = || {
+            let mut environment = Environment::new(settings.clone());
+            steps.iter().for_each(|s| environment.run_step(s));
+            environment.advance(2_000_000);
+            assert!(environment.open_requests.is_empty(), "everything is answered in the end");
+            environment.action_log
         };
-        prop_assert_eq!(play(), play());
+        prop_assert_eq!(run_steps(), run_steps());
         Ok(())
     });
     result.unwrap();
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -15,18 +15,18 @@
 }
 
 impl Batch {
-    fn record(&mut self, code: u8, node: u16, fields: &[(usize, &[u8])]) -> &mut Self {
-        let mut r = [0u8; 48];
-        r[0] = code;
-        r[1..3].copy_from_slice(&node.to_le_bytes());
+    fn push_record(&mut self, code: u8, instance_id: u16, fields: &[(usize, &[u8])]) -> &mut Self {
+        let mut record = [0u8; 48];
+        record[0] = code;
+        record[1..3].copy_from_slice(&instance_id.to_le_bytes());
         for (at, bytes) in fields {
-            r[*at..at + bytes.len()].copy_from_slice(bytes);
+            record[*at..at + bytes.len()].copy_from_slice(bytes);
         }
-        self.records.push(r);
+        self.records.push(record);
         self
     }
 
-    fn part(&mut self, bytes: &[u8], count: usize) -> [u8; 8] {
+    fn append_to_tail(&mut self, bytes: &[u8], count: usize) -> [u8; 8] {
         let mut field = [0u8; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
         field[4..].copy_from_slice(&(count as u32).to_le_bytes());
@@ -34,38 +34,53 @@
         field
     }
 
-    fn start(&mut self, node: u16, settings: &str) -> &mut Self {
-        let part = self.part(settings.as_bytes(), settings.len());
-        self.record(5, node, &[(3, &7u64.to_le_bytes()), (11, &part)])
+    fn start_instance(&mut self, instance_id: u16, settings: &str) -> &mut Self {
+        let tail_field = self.append_to_tail(settings.as_bytes(), settings.len());
+        self.push_record(5, instance_id, &[(3, &7u64.to_le_bytes()), (11, &tail_field)])
     }
 
     /// A list of ready servers (id and machine kind), then its number to the instance.
-    fn list(&mut self, node: u16, number: u16, how: u8, servers: &[(u32, u16)]) -> &mut Self {
-        let mut lines = Vec::new();
-        for (id, kind) in servers {
-            lines.extend_from_slice(&[0; 9]);
-            lines.push(1);
-            lines.extend_from_slice(&id.to_le_bytes());
-            lines.extend_from_slice(&[0; 2]);
-            lines.extend_from_slice(&kind.to_le_bytes());
-            lines.extend_from_slice(&1f32.to_le_bytes());
+    fn send_list(&mut self, instance_id: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
+        let mut entries = Vec::new();
+        for (id, machine_type) in servers {
+            entries.extend_from_slice(&[0; 9]);
+            entries.push(1);
+            entries.extend_from_slice(&id.to_le_bytes());
+            entries.extend_from_slice(&[0; 2]);
+            entries.extend_from_slice(&machine_type.to_le_bytes());
+            entries.extend_from_slice(&1f32.to_le_bytes());
         }
-        let part = self.part(&lines, servers.len());
-        self.record(9, number, &[(3, &part)]);
-        self.record(10, node, &[(3, &number.to_le_bytes()), (9, &[how])])
+        let tail_field = self.append_to_tail(&entries, servers.len());
+        self.push_record(9, number, &[(3, &tail_field)]);
+        self.push_record(10, instance_id, &[(3, &number.to_le_bytes()), (9, &[kind])])
     }
 
-    fn demand(&mut self, node: u16, id: u64, key: u64) -> &mut Self {
-        let budget = 1_500_000u32.to_le_bytes();
-        self.record(4, node, &[(3, &id.to_le_bytes()), (19, &key.to_le_bytes()), (31, &budget)])
+    fn send_request(&mut self, instance_id: u16, id: u64, key: u64) -> &mut Self {
+        let time_left = 1_500_000u32.to_le_bytes();
+        self.push_record(
+            4,
+            instance_id,
+            &[(3, &id.to_le_bytes()), (19, &key.to_le_bytes()), (31, &time_left)],
+        )
     }
 
-    fn report(&mut self, node: u16, id: u64, attempt: u16, server: u32, code: u16) -> &mut Self {
+    fn send_outcome(
+        &mut self,
+        instance_id: u16,
+        id: u64,
+        attempt: u16,
+        server: u32,
+        status: u16,
+    ) -> &mut Self {
         let (id, attempt, server) = (id.to_le_bytes(), attempt.to_le_bytes(), server.to_le_bytes());
-        self.record(3, node, &[(3, &id), (19, &attempt), (22, &code.to_le_bytes()), (24, &server)])
+        self.push_record(
+            3,
+            instance_id,
+            &[(3, &id), (19, &attempt), (22, &status.to_le_bytes()), (24, &server)],
+        )
     }
 
-    fn frame(&self, now: u64, number: u32) -> Vec<u8> {
+    fn encode(&self, now: u64, number: u32) -> Vec<u8> {
         let length = (self.records.len() * 48 + self.tail.len()) as u32;
         let mut frame = now.to_le_bytes().to_vec();
         frame.extend_from_slice(&length.to_le_bytes());
@@ -77,14 +92,14 @@
     }
 }
 
-fn spawn() -> Child {
+fn spawn_adapter() -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondproxy-sim"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     command.spawn().expect("the wirehost starts")
 }
 
-fn run(input: &[u8]) -> Output {
-    let mut child = spawn();
+fn run_adapter(input: &[u8]) -> Output {
+    let mut child = spawn_adapter();
     // It may stop reading at a fault: a broken pipe is then expected.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("ended")
@@ -95,63 +110,63 @@
 }
 
 /// The action records of the replies in an output, by batch.
-fn replies(mut out: &[u8]) -> Vec<Vec<Vec<u8>>> {
-    let mut replies = Vec::new();
-    while !out.is_empty() {
-        let (count, length) = (u32_at(out, 0) as usize, u32_at(out, 4) as usize);
+fn decode_replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
+    let mut batches = Vec::new();
+    while !output.is_empty() {
+        let (count, length) = (u32_at(output, 0) as usize, u32_at(output, 4) as usize);
         assert!(length >= count * 24);
-        let body = &out[12..12 + length];
-        replies.push((0..count).map(|i| body[i * 24..(i + 1) * 24].to_vec()).collect());
-        out = &out[12 + length..];
+        let body = &output[12..12 + length];
+        batches.push((0..count).map(|i| body[i * 24..(i + 1) * 24].to_vec()).collect());
+        output = &output[12 + length..];
     }
-    replies
+    batches
 }
 
-fn sends(records: &[Vec<u8>]) -> Vec<(u16, u64, u32)> {
-    let node = |r: &[u8]| u16::from_le_bytes([r[1], r[2]]);
-    let id = |r: &[u8]| u64::from_le_bytes(r[3..11].try_into().unwrap());
-    let sent = records.iter().filter(|r| r[0] == 1);
-    sent.map(|r| (node(r), id(r), u32_at(r, 11))).collect()
+fn sent_attempts(records: &[Vec<u8>]) -> Vec<(u16, u64, u32)> {
+    let instance_id = |r: &[u8]| u16::from_le_bytes([r[1], r[2]]);
+    let request_id = |r: &[u8]| u64::from_le_bytes(r[3..11].try_into().unwrap());
+    let send_records = records.iter().filter(|r| r[0] == 1);
+    send_records.map(|r| (instance_id(r), request_id(r), u32_at(r, 11))).collect()
 }
 
 #[test]
-fn an_empty_batch_has_the_reply_of_the_protocol_page() {
+fn an_empty_batch_gets_an_empty_reply() {
     let input = [0x5a, 0x5c, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0];
-    let output = run(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0]);
 }
 
 #[test]
-fn no_input_ends_well_and_says_nothing() {
-    let output = run(&[]);
+fn empty_input_exits_successfully_without_output() {
+    let output = run_adapter(&[]);
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn a_request_is_sent_missed_fetched_and_each_reply_comes_before_the_next_batch() {
-    let mut child = spawn();
+fn each_batch_is_answered_before_the_next_while_a_read_is_sent_missed_and_fetched() {
+    let mut child = spawn_adapter();
     let (mut stdin, mut stdout) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
-    let mut ask = |batch: &Batch, now: u64, number: u32| {
-        stdin.write_all(&batch.frame(now, number)).unwrap();
+    let mut exchange = |batch: &Batch, now: u64, number: u32| {
+        stdin.write_all(&batch.encode(now, number)).unwrap();
         let mut header = [0u8; 12];
         stdout.read_exact(&mut header).unwrap();
         assert_eq!(u32_at(&header, 8), number);
         let mut body = vec![0u8; u32_at(&header, 4) as usize];
         stdout.read_exact(&mut body).unwrap();
-        replies(&[&header[..], &body[..]].concat()).remove(0)
+        decode_replies(&[&header[..], &body[..]].concat()).remove(0)
     };
     let mut first = Batch::default();
-    first.start(3, SETTINGS).list(3, 0, 1, &[(11, 0), (500, 1)]).demand(3, 77, 9);
-    let answer = ask(&first, 1_000_000, 1);
-    assert_eq!(sends(&answer), [(3, 77, 11)]);
-    assert!(answer.iter().any(|r| r[0] == 11 && r[3] == 1), "subscribes where discovery is asked");
+    first.start_instance(3, SETTINGS).send_list(3, 0, 1, &[(11, 0), (500, 1)]).send_request(3, 77, 9);
+    let actions = exchange(&first, 1_000_000, 1);
+    assert_eq!(sent_attempts(&actions), [(3, 77, 11)]);
+    assert!(actions.iter().any(|r| r[0] == 11 && r[3] == 1), "subscribes where discovery is asked");
     let mut second = Batch::default();
-    second.report(3, 77, 0, 11, 204);
-    assert_eq!(sends(&ask(&second, 1_010_000, 2)), [(3, 77, 500)]);
+    second.send_outcome(3, 77, 0, 11, 204);
+    assert_eq!(sent_attempts(&exchange(&second, 1_010_000, 2)), [(3, 77, 500)]);
     let mut third = Batch::default();
-    third.report(3, 77, 1, 500, 200);
-    assert_eq!(sends(&ask(&third, 1_020_000, 3)), []);
+    third.send_outcome(3, 77, 1, 500, 200);
+    assert_eq!(sent_attempts(&exchange(&third, 1_020_000, 3)), []);
     drop(stdin);
     assert!(child.wait().unwrap().success());
 }
@@ -159,133 +174,137 @@
 #[test]
 fn list_numbers_are_resolved_in_the_order_of_events() {
     let mut batch = Batch::default();
-    batch.start(0, SETTINGS).start(1, SETTINGS);
-    batch.list(0, 4, 1, &[(11, 0)]).list(1, 4, 1, &[(22, 0)]);
-    batch.demand(0, 1, 9).demand(1, 2, 9);
-    let output = run(&batch.frame(1_000_000, 1));
-    assert_eq!(sends(&replies(&output.stdout)[0]), [(0, 1, 11), (1, 2, 22)]);
+    batch.start_instance(0, SETTINGS).start_instance(1, SETTINGS);
+    batch.send_list(0, 4, 1, &[(11, 0)]).send_list(1, 4, 1, &[(22, 0)]);
+    batch.send_request(0, 1, 9).send_request(1, 2, 9);
+    let output = run_adapter(&batch.encode(1_000_000, 1));
+    assert_eq!(sent_attempts(&decode_replies(&output.stdout)[0]), [(0, 1, 11), (1, 2, 22)]);
 }
 
 #[test]
-fn an_instance_killed_and_started_in_one_batch_begins_anew() {
+fn an_instance_stopped_and_started_in_one_batch_keeps_no_state() {
     let mut batch = Batch::default();
-    batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]);
-    batch.record(7, 0, &[]).start(0, SETTINGS).list(0, 1, 1, &[(12, 0)]).demand(0, 1, 9);
-    let output = run(&batch.frame(1_000_000, 1));
-    assert_eq!(sends(&replies(&output.stdout)[0]), [(0, 1, 12)]);
+    batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]);
+    batch
+        .push_record(7, 0, &[])
+        .start_instance(0, SETTINGS)
+        .send_list(0, 1, 1, &[(12, 0)])
+        .send_request(0, 1, 9);
+    let output = run_adapter(&batch.encode(1_000_000, 1));
+    assert_eq!(sent_attempts(&decode_replies(&output.stdout)[0]), [(0, 1, 12)]);
 }
 
 #[test]
-fn every_event_of_the_wire_is_read() {
+fn every_event_code_and_outcome_code_is_accepted() {
     let mut batch = Batch::default();
-    batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]).demand(0, 1, 9);
-    let blob = batch.part(b"hello", 5);
-    batch.record(1, 0, &[(3, &99u64.to_le_bytes())]);
-    batch.record(2, 0, &[(3, &5u32.to_le_bytes())]);
-    batch.record(6, 0, &[(3, &200u16.to_le_bytes()), (9, &11u32.to_le_bytes()), (13, &[4])]);
-    batch.record(8, 0, &[(3, &1u64.to_le_bytes()), (11, &11u32.to_le_bytes())]);
-    batch.record(10, 0, &[(9, &[2])]);
-    batch.record(11, 0, &[(3, &1u32.to_le_bytes()), (7, &blob)]);
-    for (attempt, code) in [200, 502, 429, 408, 521, 520, 444, 409, 204].into_iter().enumerate() {
-        batch.report(0, 1, attempt as u16, 11, code);
+    batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]).send_request(0, 1, 9);
+    let message = batch.append_to_tail(b"hello", 5);
+    batch.push_record(1, 0, &[(3, &99u64.to_le_bytes())]);
+    batch.push_record(2, 0, &[(3, &5u32.to_le_bytes())]);
+    batch.push_record(6, 0, &[(3, &200u16.to_le_bytes()), (9, &11u32.to_le_bytes()), (13, &[4])]);
+    batch.push_record(8, 0, &[(3, &1u64.to_le_bytes()), (11, &11u32.to_le_bytes())]);
+    batch.push_record(10, 0, &[(9, &[2])]);
+    batch.push_record(11, 0, &[(3, &1u32.to_le_bytes()), (7, &message)]);
+    for (attempt, status) in [200, 502, 429, 408, 521, 520, 444, 409, 204].into_iter().enumerate() {
+        batch.send_outcome(0, 1, attempt as u16, 11, status);
     }
-    assert!(run(&batch.frame(1_000_000, 1)).status.success());
+    assert!(run_adapter(&batch.encode(1_000_000, 1)).status.success());
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line_and_no_half_reply() {
-    let started = |f: &dyn Fn(&mut Batch)| {
+fn malformed_input_exits_with_one_error_line_and_without_a_partial_reply() {
+    let frame_after_start = |add_records: &dyn Fn(&mut Batch)| {
         let mut batch = Batch::default();
-        batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]);
-        f(&mut batch);
-        batch.frame(1_000_000, 1)
+        batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]);
+        add_records(&mut batch);
+        batch.encode(1_000_000, 1)
     };
-    let whole = started(&|_| {});
-    let mut long = whole.clone();
-    long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
-    let mut many = whole.clone();
-    many[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
+    let valid_frame = frame_after_start(&|_| {});
+    let mut with_excessive_length = valid_frame.clone();
+    with_excessive_length[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
+    let mut with_excessive_records = valid_frame.clone();
+    with_excessive_records[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut bad_settings = Batch::default();
-    bad_settings.start(0, "{\"classes\": 3}");
+    bad_settings.start_instance(0, "{\"classes\": 3}");
     let mut bad_effect = Batch::default();
-    bad_effect.start(0, "{\"classes\": [{\"effect\": \"maybe\"}]}");
-    let far = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
+    bad_effect.start_instance(0, "{\"classes\": [{\"effect\": \"maybe\"}]}");
+    let out_of_range_part = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("truncated frame", whole[..10].to_vec()),
-        ("truncated frame", whole[..60].to_vec()),
-        ("truncated frame", long),
-        ("records exceed", many),
+        ("truncated frame", valid_frame[..10].to_vec()),
+        ("truncated frame", valid_frame[..60].to_vec()),
+        ("truncated frame", with_excessive_length),
+        ("records exceed", with_excessive_records),
         (
             "unknown event code 77",
-            started(&|b| {
-                b.record(77, 0, &[]);
+            frame_after_start(&|batch| {
+                batch.push_record(77, 0, &[]);
             }),
         ),
         (
             "unknown instance 5",
-            started(&|b| {
-                b.demand(5, 1, 9);
+            frame_after_start(&|batch| {
+                batch.send_request(5, 1, 9);
             }),
         ),
         (
             "unknown instance 5",
-            started(&|b| {
-                b.record(7, 5, &[]);
+            frame_after_start(&|batch| {
+                batch.push_record(7, 5, &[]);
             }),
         ),
         (
             "unknown outcome 999",
-            started(&|b| {
-                b.report(0, 1, 0, 11, 999);
+            frame_after_start(&|batch| {
+                batch.send_outcome(0, 1, 0, 11, 999);
             }),
         ),
         (
             "leave the frame",
-            started(&|b| {
-                b.record(9, 0, &[(3, &far)]);
+            frame_after_start(&|batch| {
+                batch.push_record(9, 0, &[(3, &out_of_range_part)]);
             }),
         ),
         (
             "leave the frame",
-            started(&|b| {
-                b.record(11, 0, &[(7, &far)]);
+            frame_after_start(&|batch| {
+                batch.push_record(11, 0, &[(7, &out_of_range_part)]);
             }),
         ),
         (
             "out of range",
-            started(&|b| {
-                b.record(9, 16, &[]);
+            frame_after_start(&|batch| {
+                batch.push_record(9, 16, &[]);
             }),
         ),
         (
             "unknown list 7",
-            started(&|b| {
-                b.record(10, 0, &[(3, &[7, 0])]);
+            frame_after_start(&|batch| {
+                batch.push_record(10, 0, &[(3, &[7, 0])]);
             }),
         ),
         (
             "unknown kind 9",
-            started(&|b| {
-                b.record(10, 0, &[(9, &[9])]);
+            frame_after_start(&|batch| {
+                batch.push_record(10, 0, &[(9, &[9])]);
             }),
         ),
         (
             "class 3",
-            started(&|b| {
-                b.record(4, 0, &[(14, &[3])]);
+            frame_after_start(&|batch| {
+                batch.push_record(4, 0, &[(14, &[3])]);
             }),
         ),
         (
             "tenant 2",
-            started(&|b| {
-                b.record(4, 0, &[(11, &[2])]);
+            frame_after_start(&|batch| {
+                batch.push_record(4, 0, &[(11, &[2])]);
             }),
         ),
-        ("unreadable settings", bad_settings.frame(1, 1)),
-        ("unreadable settings", bad_effect.frame(1, 1)),
+        ("unreadable settings", bad_settings.encode(1, 1)),
+        ("unreadable settings", bad_effect.encode(1, 1)),
     ];
     for (expected, input) in cases {
-        let output = run(&input);
+        let output = run_adapter(&input);
         let message = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{expected}: {message}");
         assert!(message.contains(expected), "expected {expected:?} in {message:?}");
