--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -1,4 +1,8 @@
-//! Frames of the wire: batches of event records in, replies of action records out.
+//! Binary format of the simulator's wire. Decodes batches of event records and encodes replies of action
+//! records. Does not know which instances exist.
+//!
+//! Numbers are little-endian. A frame consists of a header, records of a fixed size, and a tail: records
+//! refer to data of variable size in the tail by offset and count.
 
 use pondproxy::{
     Action, CacheLookup, DiscoveryFailure, ListKind, LoadReport, Micros, Outcome, Request, ServerEntry,
@@ -9,23 +13,24 @@
 pub const BATCH_HEADER_BYTES: usize = 20;
 const EVENT_RECORD_BYTES: usize = 48;
 const ACTION_RECORD_BYTES: usize = 24;
+/// Size of a server entry in the tail.
 const SERVER_ENTRY_BYTES: usize = 22;
 
 /// The header of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// The clock, microseconds.
+    /// Time of the batch in microseconds.
     pub now: Micros,
-    /// Bytes that follow the header.
+    /// Size of the body, which follows the header.
     pub body_length: usize,
-    /// Event records among them.
+    /// Number of event records at the beginning of the body.
     pub record_count: usize,
-    /// Number of the batch.
+    /// Number of the batch, which its reply repeats.
     pub batch_number: u32,
 }
 
 impl BatchHeader {
-    /// Reads a header and checks that its records fit its length.
+    /// Decodes a header and checks that its records fit into the body.
     pub fn read(bytes: &[u8; BATCH_HEADER_BYTES]) -> Result<Self, String> {
         let usize_at = |at| u32_at(bytes, at) as usize;
         let header = BatchHeader {
@@ -41,32 +46,33 @@
     }
 }
 
-/// An event record, resolved as far as its own frame allows.
+/// A decoded event record. A reference to a numbered list is not resolved, since the list may come from an
+/// earlier frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts with a seed and a settings text.
+    /// An instance starts.
     Start {
         /// The instance.
         instance_id: u16,
-        /// Its seed.
+        /// Seed of its random numbers.
         seed: u64,
-        /// Its settings.
+        /// Its settings (JSON).
         settings: &'a [u8],
     },
-    /// A numbered list for later records.
+    /// A numbered server list for later records.
     List {
         /// Number of the list.
         list_number: u16,
-        /// Its servers.
+        /// Entries of the list.
         servers: Vec<ServerEntry>,
     },
-    /// An instance is killed.
+    /// An instance stops.
     Stop(u16),
-    /// An instance hears a list by its number.
+    /// An instance receives a numbered server list.
     ListReceived {
         /// The instance.
         instance_id: u16,
-        /// How the list relates to the one held.
+        /// How the list relates to the one in force.
         kind: ListKind,
         /// Number of the list.
         list_number: u16,
@@ -75,12 +81,13 @@
     Event(u16, pondproxy::Event),
 }
 
-/// A call that discovery took and that failed: the simulator knows no other, and tells at once.
+/// Returns the event of a failed call to discovery. The simulator reports neither the kind of failure nor the
+/// time without contact; its calls reach discovery and fail, and it reports this at once.
 fn discovery_call_failed() -> pondproxy::Event {
     pondproxy::Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 }
 }
 
-/// Reads event record `index` of the body of a frame with `record_count` records.
+/// Decodes event record `index` of the body of a frame with `record_count` records.
 pub fn read_record(body: &[u8], record_count: usize, index: usize) -> Result<Record<'_>, String> {
     let record = &body[index * EVENT_RECORD_BYTES..(index + 1) * EVENT_RECORD_BYTES];
     let tail = &body[record_count * EVENT_RECORD_BYTES..];
@@ -106,13 +113,14 @@
             let entries = tail_slice(tail, record, 3, SERVER_ENTRY_BYTES)?;
             let servers =
                 entries.chunks_exact(SERVER_ENTRY_BYTES).map(read_server_entry).collect::<Result<_, _>>()?;
+            // In this record the field of the instance holds the number of the list.
             return Ok(Record::List { list_number: instance_id, servers });
         }
         10 => {
             let kind = match record[9] {
                 0 => ListKind::Full,
                 1 => ListKind::Cached,
-                // Which call failed, and how, the simulator does not tell.
+                // The record does not say which call failed, nor how.
                 2 => return Ok(Record::Event(instance_id, discovery_call_failed())),
                 3 => ListKind::Delta,
                 other => return Err(format!("roster_change of unknown kind {other}")),
@@ -197,7 +205,7 @@
     })
 }
 
-/// The part of the tail that the field at `at` names: an offset and a count of items of `size` bytes.
+/// Returns the items of `size` bytes in the tail that the field at `at` refers to by offset and count.
 fn tail_slice<'a>(tail: &'a [u8], record: &[u8], at: usize, size: usize) -> Result<&'a [u8], String> {
     let (offset, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
     let end = count.checked_mul(size).and_then(|n| n.checked_add(offset));
@@ -226,7 +234,7 @@
     std::array::from_fn(|i| bytes[offset + i])
 }
 
-/// A reply under construction; its buffers are kept from batch to batch.
+/// A reply under construction; its buffers are reused for every batch.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -235,7 +243,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Encodes an action of an instance.
     pub fn push(&mut self, instance_id: u16, action: &Action) {
         let mut record = [0u8; ACTION_RECORD_BYTES];
         record[1..3].copy_from_slice(&instance_id.to_le_bytes());
@@ -290,18 +298,20 @@
         self.action_count += 1;
     }
 
+    /// Writes the code and the server of an action that has no other field.
     fn write_server_action(&mut self, record: &mut [u8; ACTION_RECORD_BYTES], code: u8, server: ServerId) {
         record[0] = code;
         write_at(record, 3, &server.to_le_bytes());
     }
 
+    /// Appends bytes to the tail and writes their offset and count into the record.
     fn append_to_tail(&mut self, record: &mut [u8; ACTION_RECORD_BYTES], at: usize, bytes: &[u8]) {
         write_at(record, at, &(self.tail.len() as u32).to_le_bytes());
         write_at(record, at + 4, &(bytes.len() as u32).to_le_bytes());
         self.tail.extend_from_slice(bytes);
     }
 
-    /// Writes the reply to batch `batch_number` into `frame` and empties itself for the next.
+    /// Writes the reply to batch `batch_number` into `frame` and clears the reply for the next batch.
     pub fn write_frame(&mut self, batch_number: u32, frame: &mut Vec<u8>) {
         frame.clear();
         frame.extend_from_slice(&self.action_count.to_le_bytes());
@@ -319,7 +329,7 @@
     record[at..at + bytes.len()].copy_from_slice(bytes);
 }
 
-/// Times of actions are signed 32-bit on the wire; longer ones are cut to the longest.
+/// Encodes a duration as a signed 32-bit number of microseconds; longer durations become the maximum.
 fn encode_duration(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).min(i32::MAX as u32).to_le_bytes()
 }
@@ -328,6 +338,7 @@
 mod tests {
     use super::*;
 
+    /// Returns the record and the tail of a reply that contains only this action.
     fn encode(action: Action) -> (Vec<u8>, Vec<u8>) {
         let (mut reply, mut frame) = (Reply::default(), Vec::new());
         reply.push(3, &action);
@@ -338,6 +349,7 @@
         (frame[12..36].to_vec(), frame[36..].to_vec())
     }
 
+    /// Returns an action record of instance 3 with these fields, each an offset and its bytes.
     fn expected_record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
         let mut record = vec![0; ACTION_RECORD_BYTES];
         (record[0], record[1]) = (code, 3);
@@ -395,11 +407,11 @@
         body[0] = 4;
         body[3] = 9; // id
         body[11] = 1; // tenant
-        body[13] = 7; // cost hint valid, a repeat, a write
+        body[13] = 7; // expected work present, client retry, write
         body[14] = 2; // class
-        body[15] = 50; // cost
+        body[15] = 50; // expected work
         body[19] = 5; // key
-        body[32] = 1; // time budget 256
+        body[32] = 1; // time left: 256
         let second = EVENT_RECORD_BYTES;
         (body[second], body[second + 3], body[second + 11], body[second + 15], body[second + 19]) =
             (3, 9, 3, 40, 1);
--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -1,4 +1,6 @@
-//! Hosts instances of the decision module on the simulator's wire. It translates and decides nothing.
+//! Adapter between the simulator and the decision module. Hosts numbered instances of [`Policy`], passes the
+//! event records that arrive on standard input to them and writes their actions to standard output. Makes no
+//! decisions, and does not know the layout of the frames (see `codec`).
 
 mod codec;
 
@@ -9,16 +11,17 @@
 use codec::{BATCH_HEADER_BYTES, BatchHeader, Record, Reply};
 use pondproxy::{Action, Event, Micros, Policy, ServerEntry, settings};
 
-/// Numbered lists run from 0 to this, exclusive.
+/// Number of slots for server lists; the simulator refers to a list by its slot.
 const LIST_SLOTS: usize = 16;
 
-/// One module that runs under an instance number.
+/// An instance of the decision module and the bounds for checking its requests.
 struct Instance {
     policy: Policy,
     class_count: usize,
     tenant_count: usize,
 }
 
+/// The instances, the numbered server lists that they share, and the reply under construction.
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
@@ -28,6 +31,7 @@
 }
 
 impl Host {
+    /// Passes all records of a batch on, in their order.
     fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
         for index in 0..header.record_count {
             let record = codec::read_record(body, header.record_count, index)
@@ -67,6 +71,7 @@
         }
     }
 
+    /// Passes an event to an instance and adds the instance's actions to the reply.
     fn handle_event(&mut self, now: Micros, instance_id: u16, event: Event) -> Result<(), String> {
         let instance = self.instances.get_mut(&instance_id);
         let instance = instance.ok_or_else(|| format!("event for unknown instance {instance_id}"))?;
@@ -86,7 +91,7 @@
     }
 }
 
-/// Fills `buffer`; `false` where the input ended before its first byte.
+/// Fills `buffer` from the input. Returns `false` if the input ends before the first byte.
 fn read_or_end(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -101,13 +106,14 @@
     Ok(true)
 }
 
+/// Answers each batch of the input with one reply until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut header_bytes = [0u8; BATCH_HEADER_BYTES];
     let (mut body, mut frame) = (Vec::new(), Vec::new());
     while read_or_end(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
-        // Read through `take`, so that a false length does not reserve memory that never fills.
+        // `take` keeps a false length from reserving memory that is never filled.
         body.clear();
         let received = input.by_ref().take(header.body_length as u64).read_to_end(&mut body);
         let received = received.map_err(|e| format!("reading the input failed: {e}"))?;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,20 +1,30 @@
-//! A node in miniature: drives a policy event by event and keeps what it answered.
+//! Helpers of the decision module's tests: a node without network that passes events and timers to a
+//! [`Policy`] and keeps the actions that it returns, and builders of settings, server entries and requests.
 #![allow(dead_code, missing_docs)]
 
 use pondproxy::*;
 
+/// Machine type of the origin in the server list.
 pub const ORIGIN_MACHINE_TYPE: u16 = 1;
+/// Server id of the origin.
 pub const ORIGIN: ServerId = 1000;
+/// One millisecond.
 pub const MS: Micros = 1_000;
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
+/// A node around one policy, with a clock that the test advances.
 pub struct TestNode {
     pub policy: Policy,
     pub now: Micros,
+    /// All actions that the policy has returned, unless the test cleared them.
     pub actions: Vec<Action>,
+    /// Times at which the timers that the policy has set are due.
     timers: Vec<Micros>,
 }
 
+/// Returns settings with three classes (0: idempotent reads, 1: writes that servers deduplicate, 2: writes
+/// that are not idempotent), an origin and no tenants.
 pub fn settings() -> Settings {
     let read = Class { latency_target: 750 * MS, deadline: 1500 * MS, ..Class::default() };
     let deduplicated = Idempotency::Deduplicated { scope: DedupScope::All, window: 200 * MS };
@@ -36,45 +46,50 @@
     }
 }
 
+/// Returns the entry of a ready cache server.
 pub fn server(id: ServerId) -> ServerEntry {
     ServerEntry { id, ..ServerEntry::default() }
 }
 
+/// Returns the entry of the ready origin.
 pub fn origin() -> ServerEntry {
     ServerEntry { id: ORIGIN, machine_type: ORIGIN_MACHINE_TYPE, ..ServerEntry::default() }
 }
 
+/// Returns a read of class 0.
 pub fn read(id: RequestId, key: Key) -> Request {
     Request { id, key, time_left: 1500 * MS, ..Request::default() }
 }
 
+/// Returns a write of the given class.
 pub fn write(id: RequestId, class: usize) -> Request {
     Request { id, key: 5, class, write: true, time_left: 300 * MS, ..Request::default() }
 }
 
 impl TestNode {
-    /// A node that has run for some time without strain.
+    /// Returns a node as from [`Self::just_started`] that has run for 10 s without overload.
     pub fn new(settings: Settings, server_count: u32) -> Self {
         let mut node = TestNode::just_started(settings, server_count);
         node.advance(10 * SECOND);
         node
     }
 
-    /// A node with cache servers 1 to `server_count` and an origin, a minute after their start.
+    /// Returns a node with cache servers 1 to `server_count` and an origin, at a clock of 60 s; all servers
+    /// have been running for a long time.
     pub fn just_started(settings: Settings, server_count: u32) -> Self {
         let mut servers: Vec<_> = (1..=server_count).map(server).collect();
         servers.push(origin());
         TestNode::with_policy(Policy::new(settings, 7), servers)
     }
 
-    /// A node round a policy that is told of these servers as it starts.
+    /// Returns a node around a policy that starts with a cached list of these servers.
     pub fn with_policy(policy: Policy, servers: Vec<ServerEntry>) -> Self {
         let mut node = TestNode { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
         node.server_list(ListKind::Cached, servers);
         node
     }
 
-    /// Passes an event on and returns what the policy answered to it.
+    /// Passes an event to the policy and returns the actions that the policy returned.
     pub fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -87,14 +102,17 @@
         actions
     }
 
+    /// Delivers a server list.
     pub fn server_list(&mut self, kind: ListKind, servers: Vec<ServerEntry>) -> Vec<Action> {
         self.deliver(Event::ServerList { kind, servers })
     }
 
+    /// Delivers a request.
     pub fn request(&mut self, request: Request) -> Vec<Action> {
         self.deliver(Event::Request(request))
     }
 
+    /// Delivers the outcome of an attempt; a successful one finishes its request.
     pub fn outcome(
         &mut self,
         request: RequestId,
@@ -109,7 +127,8 @@
         self.deliver(Event::Outcome(outcome))
     }
 
-    /// Lets time pass, with the timers that come due, and returns what the policy answered meanwhile.
+    /// Advances the clock, fires the timers that come due, and returns the actions that the policy returned
+    /// meanwhile.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let end = self.now + time;
         let first_new = self.actions.len();
@@ -122,7 +141,7 @@
     }
 }
 
-/// Where the first attempt among these actions goes.
+/// Returns the server of the first attempt that these actions send.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -130,19 +149,22 @@
     })
 }
 
+/// Returns the number of attempts that these actions send.
 pub fn count_sends(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
+/// Whether these actions shed the request.
 pub fn is_shed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
 }
 
+/// Whether these actions answer the request with a failure.
 pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
 
-/// Takes out the first of the timers that is due by a time.
+/// Removes and returns the earliest of these times if it is not after `end`.
 pub fn pop_due(due_times: &mut Vec<Micros>, end: Micros) -> Option<Micros> {
     let (index, due) = due_times.iter().copied().enumerate().min_by_key(|(_, due)| *due)?;
     (due <= end).then(|| due_times.swap_remove(index))
--- a/tests/discovery_calls.rs
+++ b/tests/discovery_calls.rs
@@ -1,4 +1,8 @@
-//! When discovery is called.
+//! Tests of the times at which the decision module calls discovery (`Action::Subscribe(true)`).
+//!
+//! Discovery serves calls one after another, so the calls of many balancers have to be spread. A balancer
+//! counts as notified of a change 6 s after it could have asked for it, so the next call must come before
+//! that.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,7 +12,8 @@
 use common::*;
 use pondproxy::*;
 
-/// When each of so many balancers, told the same at the same instant, next calls discovery, from then on.
+/// Returns, sorted, the times until the balancers of a fleet call discovery after they all receive the same
+/// cached list, or after their first calls all fail in the same way.
 fn next_call_delays(
     balancer_count: u32,
     servers: Vec<ServerEntry>,
@@ -28,7 +33,7 @@
     delays
 }
 
-/// How long it takes until a balancer calls discovery.
+/// Advances time until the balancer calls discovery and returns the time that this took.
 fn advance_to_next_call(node: &mut TestNode) -> Micros {
     let started_at = node.now;
     while !node.actions.contains(&Action::Subscribe(true)) {
@@ -39,18 +44,19 @@
     node.now - started_at
 }
 
-/// Tells a balancer that its call has failed.
+/// Reports to a balancer that its call to discovery failed and returns the resulting actions.
 fn fail_discovery(node: &mut TestNode, failure: DiscoveryFailure, since_last_contact: Micros) -> Vec<Action> {
     node.deliver(Event::DiscoveryFailed { failure, since_last_contact })
 }
 
-/// The most calls within a second.
+/// Returns the largest number of calls within one second.
 fn max_calls_in_a_second(calls: &[Micros]) -> usize {
     let within = |from: &Micros| calls.iter().filter(|at| (*from..from + SECOND).contains(at)).count();
     calls.iter().map(within).max().unwrap()
 }
 
-/// What discovery has counts as notified after 6 s, of which the call itself takes a part.
+/// Latest time of a call after the last contact: changes count as notified after 6 s, and the call itself
+/// takes a part of that.
 const LATEST_CALL: Micros = 5_500 * MS;
 
 #[test]
@@ -64,7 +70,7 @@
             let last = calls[calls.len() - 1];
             assert!(
                 last <= LATEST_CALL + MS,
-                "{last}: later it counts as notified what it was not, {first_failure:?}"
+                "{last}: too late, missed changes count as notified by then, {first_failure:?}"
             );
             assert!(
                 max_calls_in_a_second(&calls) <= bound,
@@ -74,9 +80,9 @@
         }
     }
     let few = next_call_delays(2, servers(), None);
-    assert!(few.iter().all(|at| *at < 150 * MS), "two have no need to wait: {few:?}");
+    assert!(few.iter().all(|at| *at < 150 * MS), "two balancers need not wait: {few:?}");
     let without_servers = next_call_delays(100, Vec::new(), None);
-    assert_eq!(without_servers, [0; 100], "one that knows no server can't serve before it has asked");
+    assert_eq!(without_servers, [0; 100], "a balancer without servers must call at once");
 }
 
 #[test]
@@ -117,24 +123,24 @@
     node.deliver(Event::DiscoveryMoved);
     fail_discovery(&mut node, DiscoveryFailure::Failed, 0);
     let calls = node.advance(20 * SECOND).into_iter().filter(|a| *a == Action::Subscribe(true)).count();
-    assert_eq!(calls, 1, "discovery pays for each");
+    assert_eq!(calls, 1, "each call costs discovery the same");
     let mut waits = (0..40).map(|_| {
         node.server_list(ListKind::Full, vec![server(1), origin()]);
         fail_discovery(&mut node, DiscoveryFailure::Failed, 0);
         advance_to_next_call(&mut node)
     });
-    assert!(waits.any(|wait| wait > 3 * SECOND), "all of the time is used again");
+    assert!(waits.any(|wait| wait > 3 * SECOND), "the calls are spread over the whole period again");
 }
 
 #[test]
 fn a_call_that_timed_out_is_repeated_before_missed_changes_count_as_notified_in_any_fleet() {
     let timed_out = (DiscoveryFailure::TimedOut, 2_500 * MS);
     let calls = next_call_delays(300, vec![server(1), origin()], Some(timed_out));
-    assert!(calls[299] <= 3_000 * MS + MS, "of 6 s since it fell silent, 2.5 s are gone: {calls:?}");
-    assert!(calls[299] - calls[0] > SECOND, "and yet not all at once");
+    assert!(calls[299] <= 3_000 * MS + MS, "2.5 of the 6 s since the last contact have passed: {calls:?}");
+    assert!(calls[299] - calls[0] > SECOND, "but the calls are spread");
     let few = next_call_delays(3, vec![server(1), origin()], Some(timed_out));
-    assert!(few.iter().all(|at| *at < 150 * MS), "few have no need to wait: {few:?}");
-    // One that is silent time after time is as good as down.
+    assert!(few.iter().all(|at| *at < 150 * MS), "few balancers need not wait: {few:?}");
+    // After repeated time-outs discovery is treated as down.
     let config = Settings { pull_discovery: true, ..settings() };
     let mut node = TestNode::new(config, 3);
     let waits = [0; 3].map(|_| {
@@ -145,8 +151,8 @@
     assert!(waits[0] < 150 * MS && waits[1] < 150 * MS && waits[2] > SECOND, "{waits:?}");
 }
 
-/// However often discovery turns a call away, what it has since a watch was last heard counts as notified after 6 s, and after
-/// a move 4 s later: a call has to be made shortly before that, and not only so long after the one before.
+/// However often discovery rejects a call, its changes count as notified 6 s after the last contact, and 4 s
+/// after a move. A call has to come shortly before that, and not only a fixed time after the previous call.
 #[test]
 fn a_small_fleet_calls_shortly_before_missed_changes_count_as_notified() {
     let failures = [
@@ -175,7 +181,8 @@
     }
 }
 
-/// When a balancer calls in the next ten seconds, where each call is turned away 20 ms later.
+/// Returns the times of a balancer's calls in the ten seconds after an event, where each call is rejected
+/// after 20 ms.
 fn calls_after((balancer_count, balancer_index, seed): (u32, u32, u64), event: Event) -> Vec<Micros> {
     let config = Settings { balancer_count, balancer_index, pull_discovery: true, ..settings() };
     let mut node = TestNode::with_policy(Policy::new(config, seed), vec![server(1), origin()]);
@@ -196,8 +203,8 @@
     calls
 }
 
-/// A watch that breaks in the middle of a list, or is reset, may have taken news with it that counts as notified once it was
-/// written. There is the grace of a drain for another call and its wait in line.
+/// Changes that are lost with a truncated list or a reset watch count as notified as soon as discovery has
+/// written them. The next call and its wait in discovery's queue have to fit into the drain grace time.
 #[test]
 fn after_an_interrupted_watch_a_small_fleet_calls_again_well_within_the_drain_grace_time() {
     let interrupted = Some((DiscoveryFailure::Interrupted, 0));
@@ -206,13 +213,13 @@
         let calls = next_call_delays(balancer_count, vec![server(1), origin()], interrupted);
         assert!(
             calls[calls.len() - 1] <= grace / 4 + MS,
-            "{balancer_count}: {calls:?}, the grace is {grace}"
+            "{balancer_count}: {calls:?}, the drain grace time is {grace}"
         );
     }
     let many = next_call_delays(300, vec![server(1), origin()], interrupted);
     assert!(
         max_calls_in_a_second(&many) <= 90,
-        "a large fleet may be cut off all at once, and must not call at once"
+        "the watches of a large fleet may all break at once, and the calls must still be spread"
     );
     let config = Settings { balancer_count: 6, pull_discovery: true, ..settings() };
     let mut node = TestNode::with_policy(Policy::new(config, 1), vec![server(1), origin()]);
@@ -221,7 +228,10 @@
         fail_discovery(&mut node, DiscoveryFailure::Interrupted, 0);
         advance_to_next_call(&mut node)
     });
-    assert!(waits[2] > 500 * MS, "one that is cut off time after time is called less often: {waits:?}");
+    assert!(
+        waits[2] > 500 * MS,
+        "a discovery that interrupts its watches repeatedly is called less often: {waits:?}"
+    );
 }
 
 #[test]
@@ -245,9 +255,9 @@
     let many = call_delays(300);
     let counts =
         many.iter().map(|from| many.iter().filter(|at| (*from..from + 250 * MS).contains(at)).count());
-    assert!(counts.max().unwrap() < 60, "of 300, a tenth of the time each");
-    assert!(many[299] <= 2_500 * MS + MS, "what it tells counts as notified after 4 s: {many:?}");
-    assert!(call_delays(2)[1] <= 100 * MS, "two have no need to wait");
+    assert!(counts.max().unwrap() < 60, "of 300, within a tenth of the spread");
+    assert!(many[299] <= 2_500 * MS + MS, "changes count as notified 4 s after the move: {many:?}");
+    assert!(call_delays(2)[1] <= 100 * MS, "two balancers need not wait");
 }
 
 #[test]
@@ -262,26 +272,28 @@
     assert!(sent_to(&node.request(read(1, 9))).is_some(), "the old list stays in force");
 }
 
-/// A discovery that serves calls one after another. One that has waited for too long when its turn comes is turned
-/// away, and has cost as much as one that is answered.
+/// A discovery that serves calls one after another. It rejects a call that has waited too long when its turn
+/// comes, which takes as long as answering it.
 struct DiscoveryModel {
     service_time: Micros,
-    /// How long a call may wait.
+    /// Longest time that a call may wait in the queue and still be answered.
     max_wait: Micros,
-    /// Whose calls wait, and since when.
+    /// Waiting calls: index of the balancer and time of the call.
     queue: VecDeque<(usize, Micros)>,
-    /// Whom it is busy with, since when that one has called, and until when.
+    /// The call in service: index of the balancer, time of the call and time at which its service ends.
     in_service: Option<(usize, Micros, Micros)>,
 }
 
 impl DiscoveryModel {
-    /// The next that it is done with by a time: whom, since when that one had called, and whether it is served.
+    /// Removes the call whose service has ended by `now`. Returns the balancer's index, the time of the call
+    /// and whether it is answered.
     fn pop_completed(&mut self, now: Micros) -> Option<(usize, Micros, bool)> {
         let (node, called_at, ends_at) = self.in_service.filter(|call| call.2 <= now)?;
         self.start_next(ends_at);
         Some((node, called_at, ends_at - self.service_time <= called_at + self.max_wait))
     }
 
+    /// Starts the service of the next waiting call at `now`, if there is one.
     fn start_next(&mut self, now: Micros) {
         let next = self.queue.pop_front();
         self.in_service =
@@ -289,16 +301,18 @@
     }
 }
 
-/// What discovery does with a call while it is down.
+/// How discovery treats calls during an outage.
 #[derive(Clone, Copy, Debug)]
 enum OutageMode {
+    /// It accepts no connections, so that calls fail at once.
     RefusesConnections,
-    /// It lets it wait for as long as any other, and turns it away.
+    /// It accepts calls and rejects each after the longest waiting time.
     RejectsAfterWait,
 }
 
-/// A fleet whose watches all break as discovery goes down for some time. After its return: when each balancer has its
-/// list, and how many calls were in vain.
+/// Simulates a fleet whose watches all break when discovery goes down for `outage_s`. Returns, counted from
+/// the end of the outage, the times at which the balancers received their lists, and the number of calls that
+/// discovery rejected after that.
 fn outage(
     balancer_count: u32,
     (service_time, max_wait): (Micros, Micros),
@@ -333,7 +347,7 @@
                 rejections.push_back((node, called_at));
             }
         }
-        // Turned away, however long the line is, when they have waited for long enough.
+        // Rejected calls fail once their longest waiting time has passed, however long the queue is.
         while let Some((node, called_at)) =
             rejections.pop_front_if(|(_, called_at)| *called_at + max_wait <= now)
         {
@@ -358,12 +372,13 @@
     (list_delays, failed_calls)
 }
 
-/// Prints what `docs/findings/standing.md` holds: `cargo test --release --test calls -- --ignored --nocapture`.
+/// Prints the table in `docs/findings/standing.md`:
+/// `cargo test --release --test discovery_calls -- --ignored --nocapture`.
 #[test]
-#[ignore = "a table for the findings"]
+#[ignore = "prints a table for docs/findings/standing.md and asserts nothing"]
 fn prints_a_table_of_recovery_times_after_a_discovery_outage() {
     println!(
-        "balancers, all calls take: last heard, heard within 6 s, calls in vain, over outages of 8, 12 and 31 s"
+        "balancers, time for all calls: last list, lists within 6 s, rejected calls; outages of 8, 12, 31 s"
     );
     for mode in [OutageMode::RefusesConnections, OutageMode::RejectsAfterWait] {
         for max_wait in [SECOND, 2 * SECOND] {
@@ -374,7 +389,7 @@
             ] {
                 for total_time in total_times_ms.map(|ms| ms * MS) {
                     print!(
-                        "{mode:?} limit {} s, {balancer_count:>3} in {:>4} ms:",
+                        "{mode:?} longest wait {} s, {balancer_count:>3} in {:>4} ms:",
                         max_wait / SECOND,
                         total_time / MS
                     );
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -1,11 +1,14 @@
-//! When each balancer of a small fleet knows of a drain, while its discovery was down before, is crowded and moves.
+//! Tests when the balancers of a small fleet learn of a drain, while discovery has been down before, is
+//! overloaded and moves.
 //!
-//! Servers began to drain 1.6 s after the return of discovery, and from 0.8 s later on it moved four times for each of
-//! six nodes. Reads went to the draining servers after the grace. Calls that had failed in the outage made the pauses
-//! of later ones longer, up to 4.5 s, and a discovery that takes 263 ms for a call turns some away when six nodes call
-//! within half a second: one such refusal at the wrong time, and the next call came when the drain had long counted as
-//! notified. Played here with the figures of that day, the last node knew up to 2.7 s too late in 9 of 400 plays, and up to
-//! 8.3 s too late in 134 of 400 where discovery lets a call wait before it turns it away.
+//! Guards against this failure: servers began to drain 1.6 s after discovery returned from an outage, and
+//! from 0.8 s later on discovery moved four times for each of six nodes. Reads still went to the draining
+//! servers after the grace time. Calls that failed during the outage lengthened the pauses before later calls
+//! to up to 4.5 s, and a discovery that takes 263 ms for a call rejects some when six nodes call within half
+//! a second. After one such rejection at the wrong time, the next call came long after the drain counted as
+//! notified. Simulated with the figures of that failure, the last node learned of the drain up to 2.7 s too
+//! late in 9 of 400 runs, and up to 8.3 s too late in 134 of 400 runs where discovery lets a call wait before
+//! it rejects it.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,33 +16,35 @@
 use common::*;
 use pondproxy::*;
 
-/// How long a call takes that is turned away at once.
+/// Duration of a call that is rejected at once.
 const ROUND_TRIP: Micros = 20 * MS;
-/// When the watches break, and discovery is down.
+/// Time at which all watches break and discovery goes down.
 const OUTAGE_START: Micros = 100 * SECOND;
-/// Configurations reach one balancer after the other, so far apart.
+/// Time between the balancers' receipts of the same configuration.
 const MOVE_STAGGER: Micros = 400 * MS;
-/// Each balancer gets its configurations so long after its first.
+/// Times at which a balancer receives its configurations, counted from its first.
 const MOVE_OFFSETS: [Micros; 4] = [0, 300 * MS, 700 * MS, 1_600 * MS];
-/// Where discovery was before a move its connections stay open for so long.
+/// Time for which connections to the former address of discovery stay open after a move.
 const OLD_CONNECTION_LIFETIME: Micros = 1_500 * MS;
-/// What discovery has counts as notified so long after it could be asked for it, and after a signal.
+/// Time after which a change counts as notified, from when a balancer could have asked for it.
 const NOTIFIED_AFTER: Micros = 6 * SECOND;
+/// Time after which a change counts as notified, from the signal that brings a balancer its first
+/// configuration.
 const NOTIFIED_AFTER_SIGNAL: Micros = 4 * SECOND;
-/// Sends to a draining server must have stopped so long after that.
+/// Time after the notification by which sends to a draining server must have stopped.
 const DRAIN_GRACE: Micros = SECOND;
 
-/// What discovery does with a call that would wait for too long.
+/// How discovery treats a call that would wait too long.
 #[derive(Clone, Copy, Debug)]
 enum OverloadResponse {
-    /// It turns it away at once, which costs it nothing. So the logs show it: of 31 nodes that called within 6 s nine
-    /// were turned away after 20 ms, and the others answered every 180 ms.
+    /// It rejects the call at once, at no cost. Logs show this behaviour: of 31 nodes that called within 6 s,
+    /// nine were rejected after 20 ms, and the others were answered one every 180 ms.
     RejectsAtOnce,
-    /// It lets it wait and turns it away then, which costs it as much as serving it.
+    /// It lets the call wait and then rejects it, which takes as long as answering it.
     RejectsAfterWait,
 }
 
-/// Discovery, one service at whatever address: calls are answered in turn.
+/// Discovery, one service behind all of its addresses, which handles calls one after another.
 struct DiscoveryModel {
     service_time: Micros,
     max_wait: Micros,
@@ -49,7 +54,7 @@
 }
 
 impl DiscoveryModel {
-    /// When a call ends, and whether it is answered.
+    /// Returns when a call made now ends, and whether it is answered.
     fn call(&mut self, now: Micros) -> (Micros, bool) {
         if now < self.available_from {
             return (now + self.max_wait, false);
@@ -64,26 +69,30 @@
     }
 }
 
+/// A call to discovery and, once answered, the watch that follows it.
 struct Call {
     started_at: Micros,
     ends_at: Micros,
     answered: bool,
-    /// When its address was given up, if it was.
+    /// Time at which discovery moved away from the address of this call.
     moved_at: Option<Micros>,
 }
 
+/// A balancer and its calls to discovery.
 struct Balancer {
     node: TestNode,
+    /// Times of the configurations that it has yet to receive.
     move_times: Vec<Micros>,
-    /// The call whose answer is in force, or the watch that it became.
+    /// The latest call, or the watch that it became.
     current_call: Option<Call>,
-    /// Calls that it has replaced.
+    /// Earlier calls whose connections are still open.
     replaced_calls: Vec<Call>,
-    /// When it was notified of the drain.
+    /// Time at which it learned of the drain.
     notified_at: Option<Micros>,
 }
 
 impl Balancer {
+    /// Returns a balancer at the start of the outage, when its watch has just broken.
     fn start(balancer_count: u32, balancer_index: u32, seed: u64, first_move: Micros) -> Balancer {
         let config = Settings { balancer_count, balancer_index, pull_discovery: true, ..settings() };
         let policy = Policy::new(config, seed * u64::from(balancer_count) + u64::from(balancer_index) + 1);
@@ -97,7 +106,7 @@
         Balancer { node, move_times, current_call: None, replaced_calls: Vec::new(), notified_at: None }
     }
 
-    /// Lets time pass until an instant, at which servers have been draining since another.
+    /// Advances the balancer to `now`; servers drain from `drains_at` on.
     fn advance(&mut self, now: Micros, drains_at: Micros, discovery: &mut DiscoveryModel) {
         self.node.advance(now - self.node.now);
         if self.node.actions.contains(&Action::Subscribe(true)) {
@@ -132,7 +141,7 @@
     }
 }
 
-/// By how much the balancer that is notified last is notified too late; 0 if all are in time.
+/// Simulates a fleet and returns by how much the last balancer learns of the drain too late; 0 if in time.
 fn max_lateness(
     balancer_count: u32,
     seed: u64,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,10 @@
-//! The module event by event, without the bench: one test for each behaviour and each failure found.
+//! Tests of the decision module, event by event, without network or simulator: one test for each behaviour
+//! and for each failure that was found.
+//!
+//! `read(id, key)` and `write(id, class)` build requests. Class 0 is idempotent (latency target 750 ms,
+//! deadline 1.5 s), class 1 is deduplicated by the servers for 200 ms (150 ms, 300 ms), class 2 is not
+//! idempotent (300 ms, 1 s). A [`TestNode`] passes events to the policy and keeps the actions that it
+//! returns.
 #![allow(missing_docs)]
 
 mod common;
@@ -21,9 +27,9 @@
     let mut moved = 0;
     for key in 1..=500 {
         let first = first_server(&all, key, 1);
-        assert_eq!(first, first_server(&all, key, 2), "another balancer, another seed, the same server");
+        assert_eq!(first, first_server(&all, key, 2), "balancers with other seeds choose the same server");
         let after_removal = first_server(&without_server_10, key, 1);
-        assert!(after_removal == first || first == 10, "only keys of the server that went move");
+        assert!(after_removal == first || first == 10, "only keys of the removed server move");
         moved += usize::from(after_removal != first);
     }
     assert!((20..=90).contains(&moved), "{moved} of 500 keys moved");
@@ -37,13 +43,13 @@
     for id in 2..=12 {
         chosen.push(sent_to(&node.request(read(id, 9))).unwrap());
     }
-    assert_eq!(&chosen[..4], [first; 4], "within the floor the order holds");
-    // Incident i3bc6f5: with a floor of eight from one balancer, the busiest server had seven times the mean.
+    assert_eq!(&chosen[..4], [first; 4], "up to the minimum bound the key order holds");
+    // With a minimum bound of eight attempts per balancer, the busiest server had seven times the mean load.
     assert_ne!(chosen[4], first, "over the bound the next server is used");
 }
 
-/// Has a server report that it holds so many, lets time pass, and tells how many of twenty reads of its key go
-/// elsewhere. This balancer's part of all requests a second is given.
+/// Has a server report `reported_in_flight` requests, advances time by `wait` and returns how many of twenty
+/// reads of that server's key go to other servers. The balancer's share of all requests is `requests_per_s`.
 fn reads_sent_elsewhere(requests_per_s: f64, reported_in_flight: f32, wait: Micros) -> usize {
     let (balancer_count, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * requests_per_s }]);
     let load_fields = vec![LoadField::InFlight];
@@ -66,10 +72,17 @@
 
 #[test]
 fn a_server_that_reports_many_requests_is_skipped_even_without_attempts_of_this_balancer() {
-    assert_eq!(reads_sent_elsewhere(50.0, 2.0, MS), 0, "a few at work are no crowd");
-    assert_eq!(reads_sent_elsewhere(50.0, 40.0, MS), 20, "held by others, and none of this balancer's");
+    assert_eq!(reads_sent_elsewhere(50.0, 2.0, MS), 0, "a few requests in progress are no overload");
+    assert_eq!(
+        reads_sent_elsewhere(50.0, 40.0, MS),
+        20,
+        "in progress for other balancers, none for this one"
+    );
     let some = reads_sent_elsewhere(50.0, 12.0, MS);
-    assert!((5..=19).contains(&some), "{some} of 20: no two balancers skip it, or come back, in step");
+    assert!(
+        (5..=19).contains(&some),
+        "{some} of 20: balancers must not skip the server, or return to it, all at once"
+    );
 }
 
 #[test]
@@ -77,24 +90,29 @@
     assert_eq!(
         reads_sent_elsewhere(50.0, 40.0, 4 * SECOND),
         0,
-        "ten answers a second of each server: this one is old"
+        "with ten answers per second from each server this report is outdated"
     );
     assert!(
         reads_sent_elsewhere(5.0, 40.0, 4 * SECOND) >= 10,
-        "an answer a second: this one may be the latest there is"
+        "with one answer per second this may be the latest report"
     );
-    assert_eq!(reads_sent_elsewhere(5.0, 40.0, 10 * SECOND), 0, "but it does not hold for ever");
+    assert_eq!(reads_sent_elsewhere(5.0, 40.0, 10 * SECOND), 0, "but the report expires");
 }
 
-/// A node that has this part of all requests a second, and the server that refused one connection to it and so
-/// many more, each to a read of its own.
+/// Returns a node whose share of all requests is `requests_per_s`, and a server to which `failed_connects`
+/// attempts failed to connect, each for a read of its own.
 fn node_after_failed_connects(requests_per_s: f64, failed_connects: u64) -> (TestNode, ServerId) {
     let (balancer_count, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * requests_per_s }]);
     let mut node = TestNode::new(Settings { balancer_count, tenants, ..settings() }, 4);
     let first = sent_to(&node.request(read(100, 9))).unwrap();
     node.outcome(100, 0, first, Status::ConnectFailed);
     for id in 101..100 + failed_connects {
-        assert_eq!(sent_to(&node.request(read(id, 9))), Some(first), "refusal {} is not enough", id - 100);
+        assert_eq!(
+            sent_to(&node.request(read(id, 9))),
+            Some(first),
+            "{} failed connects are not enough",
+            id - 100
+        );
         node.outcome(id, 0, first, Status::ConnectFailed);
     }
     (node, first)
@@ -105,16 +123,25 @@
     let (mut node, first) = node_after_failed_connects(2.0, 1);
     assert_ne!(sent_to(&node.request(read(200, 9))), Some(first), "two requests a second for five servers");
     node.advance(2 * SECOND);
-    assert_ne!(sent_to(&node.request(read(201, 9))), Some(first), "not yet its turn again");
+    assert_ne!(sent_to(&node.request(read(201, 9))), Some(first), "still ejected");
     node.advance(SECOND);
-    assert_eq!(sent_to(&node.request(read(202, 9))), Some(first), "tried again after a round");
+    assert_eq!(
+        sent_to(&node.request(read(202, 9))),
+        Some(first),
+        "tried again after the time in which this balancer calls each server once"
+    );
     let (mut node, first) = node_after_failed_connects(50.0, 3);
-    assert_ne!(sent_to(&node.request(read(200, 9))), Some(first), "one that asks it often waits for three");
+    assert_ne!(
+        sent_to(&node.request(read(200, 9))),
+        Some(first),
+        "a balancer that calls it often ejects after three failures"
+    );
     node.advance(SECOND);
     assert_eq!(sent_to(&node.request(read(201, 9))), Some(first));
 }
 
-/// A node that knows zone 0 (servers 1 to 6) and zone 1 (servers 7 to 12), and a key of each server.
+/// Returns a node that knows zone 0 (servers 1 to 6) and zone 1 (servers 7 to 12), and for each server a key
+/// whose first choice it is.
 fn node_with_two_zones() -> (TestNode, Vec<Key>) {
     let (balancer_count, tenants) = (100, vec![Tenant { quota_per_s: 1_000.0 }]);
     let config = Settings { balancer_count, tenants, ..settings() };
@@ -136,7 +163,7 @@
 fn a_silent_zone_is_ejected_as_a_whole_and_its_attempts_are_retried_elsewhere_at_once() {
     for zone_answers in [false, true] {
         let (mut node, keys) = node_with_two_zones();
-        // Of a class that is sent no second copy for being slow.
+        // These requests are of a class that is not hedged.
         for id in 0..4 {
             let request = read(1_000 + id, keys[6 + id as usize]);
             node.request(Request { class: 1, time_left: 300 * MS, ..request });
@@ -149,9 +176,13 @@
             node.outcome(1_010, 0, 12, Status::Success);
         }
         let retries = count_sends(&node.advance(50 * MS));
-        assert_eq!(retries, if zone_answers { 0 } else { 4 }, "sent again, zone 1 answers: {zone_answers}");
+        assert_eq!(
+            retries,
+            if zone_answers { 0 } else { 4 },
+            "retries, where zone 1 answers: {zone_answers}"
+        );
         let next = sent_to(&node.request(read(1_020, keys[11]))).unwrap();
-        assert_eq!(next <= 6, !zone_answers, "a server that has not failed itself: {next}");
+        assert_eq!(next <= 6, !zone_answers, "server {next} has not failed itself");
         node.outcome(1_020, 0, next, Status::Success);
         node.advance(10 * SECOND);
         assert_eq!(sent_to(&node.request(read(1_030, keys[10]))), Some(11), "the zone is tried again");
@@ -176,8 +207,12 @@
         }
         failures
     };
-    assert_eq!(failures(50.0), 3, "the misses between are no recovery");
-    assert_eq!(failures(2.0), 1, "one that asks it seldom would find it out again and again");
+    assert_eq!(failures(50.0), 3, "misses in between are no recovery");
+    assert_eq!(
+        failures(2.0),
+        1,
+        "a balancer that calls it rarely would meet the same failure again and again"
+    );
 }
 
 #[test]
@@ -206,9 +241,13 @@
             load,
         };
         node.deliver(Event::Outcome(outcome));
-        // A full server is asked again once its report has faded.
+        // A full server is called again once its load report has expired.
         let actions = node.request(read(100 + id, 9));
-        assert_eq!(is_shed(&actions, 100 + id), full, "{reported_in_flight} held by four cores, 100 ms each");
+        assert_eq!(
+            is_shed(&actions, 100 + id),
+            full,
+            "{reported_in_flight} in progress at four cores, 100 ms each"
+        );
         node.outcome(100 + id, 0, 1, Status::Success);
         node.advance(4 * SECOND);
     }
@@ -227,7 +266,7 @@
         node.advance(20 * MS);
         node.outcome(1, 0, first, Status::Success);
         node.advance(MS);
-        // Of a class that is sent no second copy; its aim is 150 ms, and answers take 20 ms.
+        // The class of this request is not hedged; its latency target is 150 ms, and answers take 20 ms.
         let request = Request { class: 1, time_left: 300 * MS, ..read(2, 9) };
         assert_eq!(sent_to(&node.request(request)), Some(first));
         node.advance(wait);
@@ -240,21 +279,21 @@
             })
             .count()
     };
-    assert_eq!(sent_back(100 * MS), 4, "slow, and not yet nearly late");
-    assert_eq!(sent_back(125 * MS), 0, "no report tells of it, nor will one before its answers come");
+    assert_eq!(sent_back(100 * MS), 4, "slow, but not yet nearly late");
+    assert_eq!(sent_back(125 * MS), 0, "no load report shows it, and none comes before its answers");
 }
 
 #[test]
 fn a_hot_key_is_spread_over_several_servers_by_a_balancer_that_never_has_two_attempts_at_one() {
-    // Found on join+mass: one key was 15% of the work, and its server was left to one in 300 balancers after
-    // the other.
+    // One key was 15% of the work of 300 balancers. None of them ever has two attempts at the key's server at
+    // a time, so none sees by its own count that the server is overloaded.
     let servers_used = |balancer_count: u32, server_count: u32, hot_key: Key, work: Micros| {
         let config = Settings { balancer_count, tenants: vec![Tenant { quota_per_s: 3600.0 }], ..settings() };
         let mut node = TestNode::new(config, server_count);
         let mut servers_seen = std::collections::BTreeSet::new();
         for id in 1..=1000 {
             node.now += 60 * MS;
-            // Every tenth request is for one key, all others are for a key of their own.
+            // Every tenth request is for the hot key; every other request has a key of its own.
             let key = if id % 10 == 0 { hot_key } else { 1000 + id };
             let expected_work = Some(if id % 10 == 0 { work } else { 50 * MS });
             let to = sent_to(&node.request(Request { expected_work, ..read(id, key) })).unwrap();
@@ -263,7 +302,11 @@
         }
         servers_seen.len()
     };
-    assert_eq!(servers_used(3, 10, 9, 50 * MS), 1, "a tenth of all is one server's due of ten");
+    assert_eq!(
+        servers_used(3, 10, 9, 50 * MS),
+        1,
+        "a tenth of the work is the fair share of one server of ten"
+    );
     assert!(
         (10..=16).contains(&servers_used(300, 160, 9, 50 * MS)),
         "{}",
@@ -271,7 +314,7 @@
     );
     assert!(
         servers_used(300, 160, 9, 150 * MS) > 20,
-        "the more work it is, the more: {}",
+        "a key with more work is spread over more servers: {}",
         servers_used(300, 160, 9, 150 * MS)
     );
 }
@@ -286,13 +329,18 @@
         let key = 1 + id % 160;
         let to = sent_to(&node.request(read(id, key))).unwrap();
         node.outcome(id, 0, to, Status::Success);
-        assert_eq!(*server_of_key.entry(key).or_insert(to), to, "one in 160 for as many servers");
+        assert_eq!(
+            *server_of_key.entry(key).or_insert(to),
+            to,
+            "a key of one request in 160 keeps its server among 160 servers"
+        );
     }
 }
 
 #[test]
 fn the_load_bound_is_wider_while_the_gate_has_no_room_for_the_fetch_after_a_skip() {
-    // Incidents ia996fa (the origin had room, queues at few servers) and iaa6bb1 (the gate refused).
+    // In incident ia996fa the origin had room, and queues formed at a few servers; in incident iaa6bb1 the
+    // gate blocked the fetches.
     let accepted_by_first = |gate_blocked: bool| {
         let mut node = TestNode::new(Settings { balancer_count: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| gate_blocked) {
@@ -302,8 +350,16 @@
         let first = sent_to(&node.request(read(101, 9))).unwrap();
         (102..=106).take_while(|id| sent_to(&node.request(read(*id, 9))) == Some(first)).count()
     };
-    assert_eq!(accepted_by_first(false), 0, "the second request of eight balancers' fleet already goes on");
-    assert_eq!(accepted_by_first(true), 2, "the bound is three times the mean");
+    assert_eq!(
+        accepted_by_first(false),
+        0,
+        "with eight balancers the second request already goes to the next server"
+    );
+    assert_eq!(
+        accepted_by_first(true),
+        2,
+        "the bound is three times the mean, so the first server takes two more"
+    );
 }
 
 #[test]
@@ -322,13 +378,13 @@
     for id in 1..=20 {
         sent += count_sends(&node.request(write(id, 1)));
     }
-    assert_eq!(sent, 10, "a balancer just started lets half of its twenty calls out");
+    assert_eq!(sent, 10, "a balancer that has just started sends half of its maximum of 20 calls");
     let after_outcome = node.outcome(1, 0, ORIGIN, Status::Success);
-    assert_eq!(count_sends(&after_outcome), 0, "a postponed call waits for its delay");
-    assert_eq!(count_sends(&node.advance(8 * MS)), 1, "an outcome lowers the counter and one more call goes");
+    assert_eq!(count_sends(&after_outcome), 0, "a deferred call waits for its delay");
+    assert_eq!(count_sends(&node.advance(8 * MS)), 1, "an outcome frees a slot and one more call is sent");
     let later = node.advance(SECOND);
     let shed = (11..=20).filter(|id| is_shed(&later, *id)).count();
-    assert_eq!(shed, 9, "what was never sent is refused, not failed");
+    assert_eq!(shed, 9, "what was never sent is shed, not failed");
 }
 
 #[test]
@@ -342,19 +398,22 @@
         sent += count_sends(&node.request(write(id, 2)));
         node.outcome(id, 0, ORIGIN, Status::Success);
     }
-    assert_eq!(sent, 18, "in a quarter of the longest aim, 187 ms, 18.75 of 100 a second");
+    assert_eq!(
+        sent, 18,
+        "18.75 of 100 per second in the window of 187 ms, a quarter of the longest latency target"
+    );
 }
 
 #[test]
 fn a_burst_of_a_few_misses_is_fetched_at_once_by_one_of_many_balancers() {
-    // Found on roll+mass: two in five fetches waited, as a part of 30 a second is 3 in a tenth of a second.
+    // A share of 30 calls per second allows only 3 within 0.1 s, so two in five fetches were deferred.
     let tenants = vec![Tenant { quota_per_s: 3600.0 }];
     let mut node = TestNode::new(Settings { balancer_count: 300, tenants, ..settings() }, 3);
     let fetched = (1..=6).filter(|id| {
         let first = sent_to(&node.request(read(*id, 100 + id))).unwrap();
         sent_to(&node.outcome(*id, 0, first, Status::Miss)) == Some(ORIGIN)
     });
-    assert_eq!(fetched.count(), 6, "within the part of fetches in the cap on what is out");
+    assert_eq!(fetched.count(), 6, "within the fetches' share of the in-flight limit");
 }
 
 #[test]
@@ -370,7 +429,7 @@
         node.outcome(id, 1, ORIGIN, Status::Success);
         fetched += count_sends(&node.advance(SECOND / 60));
     }
-    assert!(fetched >= 95, "six in ten of the quota a second, {fetched} of 100 fetched");
+    assert!(fetched >= 95, "at six tenths of the quota, {fetched} of 100 misses were fetched");
 }
 
 #[test]
@@ -399,7 +458,7 @@
     };
     let mut node = node_with_lowered_gate();
     let burst = (100..120).map(|id| count_sends(&node.request(write(id, 1)))).sum::<usize>();
-    assert_eq!(burst, 2, "the floor of a tenth of the ceiling");
+    assert_eq!(burst, 2, "the minimum of the limit, a tenth of its maximum");
     let mut node = node_with_lowered_gate();
     for id in 100..190 {
         node.advance(50 * MS);
@@ -411,7 +470,7 @@
 
 #[test]
 fn origin_calls_cancelled_before_they_are_slow_do_not_lower_the_gate_limit_but_slow_ones_do() {
-    // Found on join+mass: clients that waited for 190 ms shut the gate of an origin that was idle.
+    // Calls cancelled by clients that waited for only 190 ms closed the gate although the origin was idle.
     let gate_lowered = |wait: Micros| {
         let mut node = TestNode::new(settings(), 3);
         for id in 1..=60 {
@@ -421,7 +480,7 @@
         }
         node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.starts_with("gate lowered")))
     };
-    assert!(!gate_lowered(40 * MS), "the shortest aim is 150 ms");
+    assert!(!gate_lowered(40 * MS), "the shortest latency target is 150 ms");
     assert!(gate_lowered(200 * MS));
 }
 
@@ -443,8 +502,8 @@
     node.request(read(1, 9));
     node.request(Request { time_left: SECOND, ..write(2, 2) });
     let after = node.advance(1500 * MS);
-    assert!(is_shed(&after, 1), "safe to repeat: a refusal is true");
-    assert!(is_failed(&after, 2), "may have run: only a failure is true");
+    assert!(is_shed(&after, 1), "idempotent: a retry is harmless, so the request is shed");
+    assert!(is_failed(&after, 2), "may have been executed, so the request fails");
 }
 
 #[test]
@@ -467,9 +526,12 @@
     let mut node = TestNode::new(settings(), 3);
     node.request(Request { time_left: SECOND, ..write(1, 2) });
     node.outcome(1, 0, ORIGIN, Status::Rejected);
-    assert_eq!(count_sends(&node.advance(100 * MS)), 1, "turned away unseen: may go again");
+    assert_eq!(count_sends(&node.advance(100 * MS)), 1, "rejected unprocessed: may be retried");
     let actions = node.outcome(1, 1, ORIGIN, Status::Reset);
-    assert!(is_failed(&actions, 1) && count_sends(&actions) == 0, "may have run: failed, nothing sent");
+    assert!(
+        is_failed(&actions, 1) && count_sends(&actions) == 0,
+        "may have been executed: fails, and nothing is sent"
+    );
 }
 
 #[test]
@@ -478,15 +540,15 @@
         let mut node = TestNode::new(settings(), 4);
         for id in 1..=40 {
             let first = sent_to(&node.request(read(id, id))).unwrap();
-            let second = sent_to(&node.outcome(id, 0, first, status)).expect("tried again");
-            assert_eq!(first, second, "where the key is held");
-            let third = sent_to(&node.outcome(id, 1, second, status)).expect("and again");
-            assert_ne!(first, third, "but not for ever");
+            let second = sent_to(&node.outcome(id, 0, first, status)).expect("retried");
+            assert_eq!(first, second, "the first retry goes to the server that has the key");
+            let third = sent_to(&node.outcome(id, 1, second, status)).expect("retried again");
+            assert_ne!(first, third, "the second retry goes to the next server");
             node.outcome(id, 2, third, Status::Success);
-            // What it is asked for otherwise is answered well.
+            // Other requests for its keys are answered well.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
-                assert_eq!(server, first, "neither set aside nor taken for cold");
+                assert_eq!(server, first, "neither ejected nor presumed cold");
                 node.outcome(100 * id + good, 0, server, Status::Success);
             }
         }
@@ -507,7 +569,7 @@
     node.request(read(500, 9));
     node.outcome(500, 0, 1, Status::Success);
     let sent = (501..=560).filter(|id| sent_to(&node.request(read(*id, *id))).is_some()).count();
-    assert!(sent >= 30, "{sent} of 60: a cold one would get a part of its keys");
+    assert!(sent >= 30, "{sent} of 60: a cold server would get only a part of its keys");
 }
 
 #[test]
@@ -517,7 +579,10 @@
     assert_eq!(sent_to(&node.outcome(1, 0, ORIGIN, Status::Malformed)), Some(ORIGIN));
     node.request(write(2, 1));
     node.advance(190 * MS);
-    assert!(is_failed(&node.outcome(2, 0, ORIGIN, Status::Malformed), 2), "no longer dropped for sure");
+    assert!(
+        is_failed(&node.outcome(2, 0, ORIGIN, Status::Malformed), 2),
+        "the servers may no longer drop the repeat"
+    );
     node.request(write(3, 2));
     assert!(is_failed(&node.outcome(3, 0, ORIGIN, Status::Malformed), 3));
 }
@@ -533,7 +598,7 @@
         assert_eq!(
             count_sends(&next),
             retries,
-            "after {elapsed_ms} of 200 ms, a connection takes {connect_timeout_ms}"
+            "after {elapsed_ms} of 200 ms, a connect takes up to {connect_timeout_ms}"
         );
         assert_eq!(is_failed(&next, 1), retries == 0);
     }
@@ -605,7 +670,7 @@
 
 #[test]
 fn slow_start_limits_the_total_load_on_a_cold_server_for_any_number_of_balancers() {
-    // Found on join+mass: 80 of 300 balancers sent a cold server their first attempt within 1.5 s.
+    // 80 of 300 balancers sent a cold server their first attempt within 1.5 s.
     let total_at_cold_server = |balancer_count: u32| {
         let tenants = vec![Tenant { quota_per_s: 200.0 }];
         let config = Settings { balancer_count, initial_capacity_share: 0.2, tenants, ..settings() };
@@ -615,7 +680,7 @@
             let mut node =
                 TestNode::with_policy(Policy::new(config.clone(), seed), (1..=4).map(server).collect());
             node.server_list(ListKind::Delta, vec![ServerEntry { started_at: node.now, ..server(4) }]);
-            // Many times what is usual, all within the time in which a cold server falls over.
+            // Far more requests than usual arrive within the time in which an overloaded cold server crashes.
             for id in 1..=requests_each {
                 node.now += config.crash_load_time / requests_each;
                 let to = sent_to(&node.request(read(id, seed * requests_each + id)));
@@ -625,7 +690,7 @@
         }
         sent_to_cold
     };
-    // 50 requests a second for each server, a fifth of that for the cold one: 20 in this time, and bursts.
+    // Each server receives 50 requests/s and the cold one a fifth of that: 20 in this time, plus bursts.
     let (few, many) = (total_at_cold_server(3), total_at_cold_server(300));
     assert!((10..=60).contains(&few) && (10..=60).contains(&many), "{few} from 3, {many} from 300");
 }
@@ -641,12 +706,12 @@
     for id in 1..=3 {
         node.outcome(id, 0, victim, Status::TimedOut);
     }
-    assert_ne!(sent_to(&node.request(read(10, 9))), Some(victim), "set aside");
+    assert_ne!(sent_to(&node.request(read(10, 9))), Some(victim), "ejected");
     node.advance(10 * SECOND);
-    assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial");
-    assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while it is out");
+    assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial attempt");
+    assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while the trial is in flight");
     node.outcome(11, 0, victim, Status::Success);
-    assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "let back");
+    assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "readmitted");
 }
 
 #[test]
@@ -669,12 +734,12 @@
             attempt += 1;
         }
     }
-    assert!(sent_to(&node.request(read(100, 3))).is_some(), "still tried, the cause is shared");
+    assert!(sent_to(&node.request(read(100, 3))).is_some(), "attempts continue, since the cause is shared");
 }
 
 #[test]
 fn a_server_that_refused_connections_is_presumed_cold_when_it_answers_again() {
-    // Found on a crash day: the list learns of the new process seconds after it takes requests.
+    // After a crash the server list shows the new process only seconds after that process accepts requests.
     let mut node = TestNode::new(settings(), 4);
     let victim = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=3 {
@@ -693,23 +758,23 @@
 
 #[test]
 fn a_request_to_a_full_server_is_shed_under_load_and_a_burst_at_an_idle_fleet_is_not() {
-    // Found on incident i53252a: a bound relative to the mean lets every queue grow at once.
+    // A load bound that is only relative to the mean lets the queues of all servers grow at once.
     let mut node = TestNode::just_started(settings(), 2);
     let mut sent = 0;
     for id in 1..=40 {
         sent += count_sends(&node.request(read(id, id)));
     }
-    assert!(sent < 12, "{sent} requests in flight at two servers that have answered nothing");
+    assert!(sent < 12, "{sent} requests in flight at two servers that have not answered yet");
     assert!(is_shed(&node.actions, 40));
     let mut idle_node = TestNode::new(settings(), 2);
     let sent = (1..=10).map(|id| count_sends(&idle_node.request(read(id, id)))).sum::<usize>();
-    assert_eq!(sent, 10, "a burst at an idle fleet is served");
+    assert_eq!(sent, 10, "a burst at an idle fleet is sent");
 }
 
 #[test]
 fn a_full_server_does_not_spread_its_keys_along_their_order() {
-    // Found on incident ia996fa: full servers passed their keys on to servers that lacked them, the caches
-    // lost what they held, and fetches were two fifths of all sends.
+    // Full servers passed their keys on to servers that did not have them: the caches lost their contents,
+    // and fetches were two fifths of all sends.
     let mut node = TestNode::just_started(settings(), 12);
     let mut servers_seen = std::collections::BTreeSet::new();
     for id in 1..=60 {
@@ -721,7 +786,7 @@
 
 #[test]
 fn a_server_that_returns_errors_quickly_is_ejected() {
-    // Found on incident i0f0c3e: quick errors made a server look idle, and it drew ever more requests.
+    // Quick errors made a server look idle, so that it attracted ever more requests.
     let mut node = TestNode::new(settings(), 4);
     let victim = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=8 {
@@ -760,7 +825,7 @@
 
 #[test]
 fn attempts_cancelled_by_short_deadlines_do_not_hide_an_overload() {
-    // Found on join+mass: what was given up at 240 ms, before it was slow, counted as quick and well.
+    // Attempts cancelled at 240 ms, before they were slow, counted as quick and successful.
     let shed_with_deadline = |wait: Micros| {
         let config = Settings { tenants: vec![Tenant { quota_per_s: 20.0 }], ..settings() };
         let mut node = TestNode::new(config, 20);
@@ -782,15 +847,15 @@
     };
     assert!(
         shed_with_deadline(200 * MS) > 50,
-        "ten times what a server takes: {} of 200",
+        "cancelled after ten times the service time: {} of 200 shed",
         shed_with_deadline(200 * MS)
     );
-    assert_eq!(shed_with_deadline(12 * MS), 0, "too soon to tell");
+    assert_eq!(shed_with_deadline(12 * MS), 0, "cancelled too early to indicate overload");
 }
 
 #[test]
 fn a_severely_overloaded_fleet_is_sent_well_under_half_of_the_quotas() {
-    // Incident i4dbf06: every server eight times slower; 0.6 of the quotas kept the fleet jammed.
+    // Every server was eight times slower, and sending 0.6 of the quotas kept the fleet overloaded.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut node = TestNode::new(config, 300);
@@ -806,13 +871,13 @@
             node.outcome(id, 0, to, Status::Success);
         }
     }
-    // It also failed while one attempt was counted twice, at both of its marks.
+    // The bound was also missed while one attempt was counted twice, when slow and when nearly late.
     assert!((30..80).contains(&late_sends), "{late_sends} of the last 200 sent");
 }
 
 #[test]
 fn slow_answers_within_the_latency_target_do_not_shed_tenants_within_their_quotas() {
-    // Found on hunted day h292ed5: answers at half of the aim counted as overload, and the level fell below 1.
+    // Answers at half of the latency target counted as overload, and the admission level fell below 1.
     let mut config = Settings { may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
     let mut node = TestNode::new(config, 3000);
@@ -828,12 +893,12 @@
         }
     }
     let shed = node.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
-    assert!(shed < 8, "{shed} of 400 refused at 50 a second within a quota of 100");
+    assert!(shed < 8, "{shed} of 400 shed at 50 per second within a quota of 100");
 }
 
 #[test]
 fn the_policy_sends_no_peer_messages_and_tolerates_any_it_receives() {
-    // Found at full size: what each of 515 told all others was 12,360 broadcasts in 18 s, and the day was lost.
+    // Messages from each of 515 balancers to all others made 12,360 broadcasts in 18 s, and the run failed.
     let mut config = settings();
     (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
@@ -846,8 +911,8 @@
 
 #[test]
 fn a_shed_client_gets_a_short_retry_after_and_none_where_clients_ignore_it() {
-    // The node's users want to be told when to come back. Found on big-1 of the first full-size day: who waited 2 s came back too late, was served for nothing and
-    // took the token of a request in time.
+    // The node's users want a retry-after hint. Clients that waited for 2 s retried too late: their answers
+    // had no value, and they took the tokens of requests that were in time.
     let retry_after_hints = |max_retry_after: Micros| {
         let mut config = Settings { max_retry_after, balancer_count: 400, ..settings() };
         config.tenants = vec![Tenant { quota_per_s: 1.0 }];
@@ -863,12 +928,12 @@
     };
     let hints = retry_after_hints(SECOND);
     assert!(hints.len() > 20 && hints.iter().all(|h| (12 * MS..38 * MS).contains(h)), "{hints:?}");
-    assert!(retry_after_hints(0).iter().all(|h| *h == 0), "where clients honour none, none is given");
+    assert!(retry_after_hints(0).iter().all(|h| *h == 0), "no hint where clients ignore it");
 }
 
 #[test]
 fn one_of_many_balancers_admits_a_tenant_within_its_quota_and_limits_one_at_three_times_its_quota() {
-    // Found at 515 balancers: a rate scaled up from one request a second turned away tenants within quotas.
+    // At 515 balancers, a rate extrapolated from one request per second shed tenants within their quotas.
     let config = Settings {
         balancer_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
@@ -879,11 +944,11 @@
     let (mut sent, mut offered) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         node.advance(250 * MS);
-        let tenant = usize::from(id % 6 == 0); // 3.3 a second of the first, 0.67 of the other, quota 1 each.
+        let tenant = usize::from(id % 6 == 0); // 3.3 per second and 0.67 per second; quota share 1 each.
         let actions = node.request(Request { tenant, ..read(id, id) });
         (offered[tenant], sent[tenant]) = (offered[tenant] + 1, sent[tenant] + count_sends(&actions));
         if let Some(to) = sent_to(&actions) {
-            node.advance(650 * MS * u64::from(id % 5 == 0)); // One in five nearly late: some strain.
+            node.advance(650 * MS * u64::from(id % 5 == 0)); // One in five is nearly late: some overload.
             node.outcome(id, 0, to, Status::Success);
         }
     }
@@ -893,8 +958,8 @@
 
 #[test]
 fn one_of_many_balancers_does_not_limit_tenants_while_servers_report_spare_capacity() {
-    // Found on roll+mass: the busiest tenth of 300 balancers refused two in five of their requests untried, all
-    // day, while servers were busy for a third of their time.
+    // The busiest tenth of 300 balancers shed two in five of their requests without an attempt, throughout
+    // the run, while servers were busy for a third of their time.
     let shed_with_utilization = |balancer_count: u32, utilization: f32| {
         let tenants = vec![Tenant { quota_per_s: 2.0 * f64::from(balancer_count) }];
         let load_fields = vec![LoadField::CpuUtilization];
@@ -902,11 +967,11 @@
         let mut node = TestNode::just_started(config, 70);
         let mut shed = 0;
         for id in 1..=200u64 {
-            node.advance(125 * MS); // Eight a second, where the equal part is two.
+            node.advance(125 * MS); // Eight per second, where the equal share is two.
             let actions = node.request(read(id, id));
             shed += usize::from(id > 100 && count_sends(&actions) == 0);
             let Some(server) = sent_to(&actions) else { continue };
-            node.advance(350 * MS * u64::from(id % 4 == 0)); // One in four slow: some strain.
+            node.advance(350 * MS * u64::from(id % 4 == 0)); // One in four is slow: some overload.
             let load = LoadReport { count: 1, values: [utilization, 0.0, 0.0, 0.0] };
             let (request, status, lookup) = (id, Status::Success, CacheLookup::Hit);
             let outcome = Outcome {
@@ -923,30 +988,35 @@
         }
         shed
     };
-    assert_eq!(shed_with_utilization(300, 0.35), 0, "of 100");
-    assert!(shed_with_utilization(300, 0.95) > 20, "no room: {} of 100", shed_with_utilization(300, 0.95));
+    assert_eq!(shed_with_utilization(300, 0.35), 0, "of 100 shed with spare capacity");
+    assert!(
+        shed_with_utilization(300, 0.95) > 20,
+        "no spare capacity: {} of 100 shed",
+        shed_with_utilization(300, 0.95)
+    );
 }
 
 #[test]
 fn a_read_ends_at_its_latency_target_when_late_answers_have_no_value_but_its_fetch_continues() {
-    // Found on full-size days: a fifth of all answers came late, and kept the next ones late too.
+    // A fifth of all answers came late, and they delayed the following ones too.
     let mut node = TestNode::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     node.request(read(1, 9));
     let at_target = node.advance(760 * MS);
     assert!(is_shed(&at_target, 1) && at_target.contains(&Action::Cancel { request: 1, attempt: 0 }));
-    // A fetch cut at the aim was never stored, and the origin worked for nobody: rough-2 fell by a quarter.
+    // A fetch cancelled at the latency target was never stored, and the origin's work was wasted: the result
+    // of the bench day rough-2 fell by a quarter.
     let mut node = TestNode::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     let first = sent_to(&node.request(read(2, 9))).unwrap();
     assert_eq!(sent_to(&node.outcome(2, 0, first, Status::Miss)), Some(ORIGIN));
     let at_target = node.advance(760 * MS);
     assert!(!is_shed(&at_target, 2) && !at_target.iter().any(|a| matches!(a, Action::Cancel { .. })));
-    assert!(is_shed(&node.advance(SECOND), 2), "but not beyond the client's time");
+    assert!(is_shed(&node.advance(SECOND), 2), "but not beyond the client's deadline");
 }
 
 #[test]
 fn an_overdue_answer_overtaken_by_later_ones_is_presumed_lost_and_its_call_is_retried() {
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 1);
-    // The server, and the origin, answer in 20 ms.
+    // The cache server and the origin answer in 20 ms.
     let answer_one = |node: &mut TestNode, id: RequestId, write: bool| {
         let request = if write { self::write(id, 1) } else { read(id, id) };
         let server = sent_to(&node.request(request)).unwrap();
@@ -962,13 +1032,16 @@
         |id| actions.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == id)).count();
     assert_eq!((sends_of(100), sends_of(101)), (1, 1), "{actions:?}");
     let done = node.outcome(100, 1, 1, Status::Success);
-    assert!(done.contains(&Action::Cancel { request: 100, attempt: 0 }), "the silent one is given up");
+    assert!(
+        done.contains(&Action::Cancel { request: 100, attempt: 0 }),
+        "the attempt without an answer is cancelled"
+    );
 }
 
 #[test]
 fn a_lost_answer_is_detected_even_at_a_slow_server() {
-    // Found on r2906: an attempt was looked at for the last time at its aim, before six times what the server
-    // takes had passed, and its request waited in vain until its end.
+    // An attempt was last checked at its latency target, before six times the server's response time had
+    // passed, and its request waited in vain until its deadline.
     let mut config = settings();
     config.classes[0].late_value_fraction = 0.3;
     let mut node = TestNode::new(config, 1);
@@ -987,8 +1060,8 @@
 
 #[test]
 fn answers_are_presumed_lost_sooner_at_a_server_that_loses_many() {
-    // Found on r8274: four of nine servers lost every fourth answer, and each cost its read six times what an
-    // answer takes, which is more than its aim, and the budget for repeats of what is slow.
+    // Four of nine servers lost every fourth answer. Each loss cost its read six times the response time,
+    // which is more than the latency target, and used up the budget for retries of slow attempts.
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 1);
     let mut id = 0;
     let mut read_next = |node: &mut TestNode, answered: bool| {
@@ -1029,20 +1102,20 @@
     let frequent_delay = retry_delay(&mut node, lost);
     assert!(
         rare_delay >= 500 * MS && frequent_delay <= 450 * MS,
-        "{rare_delay} where it is rare, {frequent_delay} where it is often"
+        "{rare_delay} where losses are rare, {frequent_delay} where they are frequent"
     );
 }
 
 #[test]
 fn lost_answers_free_their_gate_slots_and_do_not_lower_the_gate_limit() {
-    // Found on r2906: of each hundred origin calls two or three were never answered. Each held a place for
-    // all its time and then cut the gate, and fetches and writes were refused at an origin that stood idle.
+    // Two or three of every hundred origin calls were never answered. Each held a gate slot until its
+    // deadline and then lowered the gate limit: fetches and writes were shed at an idle origin.
     let tenants = vec![Tenant { quota_per_s: 2_000.0 }];
     let mut node = TestNode::new(Settings { may_cancel: true, tenants, ..settings() }, 8);
     let mut id = 0;
     let mut call = |node: &mut TestNode, answered: bool| {
         id += 1;
-        // Class 2, an unsafe write, is not sent again.
+        // Class 2, a non-idempotent write, is not retried.
         let sent = sent_to(&node.request(write(id, 2))).is_some();
         if answered && sent {
             node.advance(10 * MS);
@@ -1059,14 +1132,14 @@
         call(&mut node, true);
     }
     node.advance(130 * MS);
-    // All places are free again, though the lost calls are out still.
+    // All slots are free again, although the lost calls are still in flight.
     let more: Vec<_> = (0..20).map(|_| call(&mut node, false)).collect();
     let sent = more.iter().filter(|(_, sent)| *sent).count();
     assert!(sent >= 13, "{sent} of {}", more.len());
     for (id, _) in more {
         node.outcome(id, 0, ORIGIN, Status::Success);
     }
-    // Their ends, late as they come, cut nothing.
+    // Their late outcomes do not lower the limit.
     for (id, _) in lost {
         node.outcome(id, 0, ORIGIN, Status::TimedOut);
     }
@@ -1076,8 +1149,8 @@
 
 #[test]
 fn the_gate_limit_grows_with_the_balancers_share_of_the_quotas() {
-    // Found on r2906: at 900 requests a second for each balancer the cap of 20 was shut half of the time, while
-    // the origin answered faster the more calls were out.
+    // At 900 requests per second for each balancer a fixed limit of 20 was reached half of the time, although
+    // the origin answered faster the more calls were in flight.
     for (quota_per_s, least, most) in [(200.0, 18, 20), (2_000.0, 60, 80)] {
         let mut config = settings();
         config.classes[1].deadline = SECOND;
@@ -1092,7 +1165,7 @@
         node.advance(200 * MS);
         let sent = (6_001..=6_400)
             .filter(|id| {
-                // Spread out, so that it is the cap and not the tally that stops calls.
+                // Spread out, so that the in-flight limit and not the window limit blocks calls.
                 node.advance(MS);
                 sent_to(&node.request(Request { time_left: SECOND, ..write(*id, 2) })) == Some(ORIGIN)
             })
@@ -1103,8 +1176,8 @@
 
 #[test]
 fn one_slow_origin_answer_in_twenty_keeps_the_gate_limit_and_a_uniformly_slow_origin_lowers_it() {
-    // Found on r2906 and r6397: of the origin's answers 2 or 3 in 100 took over 0.8 aims however few were out,
-    // each cut the gate, and it stood at half of its limit while fetches waited.
+    // However few calls were in flight, 2 or 3 in 100 answers of the origin took more than 0.8 of the latency
+    // target. Each lowered the limit, which stayed at half of its maximum while fetches were deferred.
     let tenants = vec![Tenant { quota_per_s: 2_000.0 }];
     let mut node = TestNode::new(Settings { tenants, ..settings() }, 8);
     let mut id = 0;
@@ -1115,7 +1188,7 @@
             node.advance(duration_of(id));
             node.outcome(id, 0, ORIGIN, Status::Success);
         }
-        // As many calls at once as the gate lets through.
+        // Sends as many calls at once as the gate allows.
         let first_id = id + 1;
         id += 25;
         let sent: Vec<_> =
@@ -1132,21 +1205,21 @@
 
 #[test]
 fn a_slow_read_is_hedged_at_the_next_server_and_the_slower_attempt_is_cancelled() {
-    // One of 500 balancers meets a sick server once in 20 s: it cannot learn to avoid it, only not wait for it.
+    // One of 500 balancers meets a faulty server once in 20 s: it cannot learn to avoid it, only hedge.
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 5);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let second = sent_to(&node.advance(310 * MS)).expect("a second copy");
+    let second = sent_to(&node.advance(310 * MS)).expect("a hedge");
     assert_ne!(second, first);
     let after = node.outcome(1, 1, second, Status::Success);
     assert!(after.contains(&Action::Cancel { request: 1, attempt: 0 }));
     let mut node = TestNode::new(Settings { may_duplicate: false, may_cancel: true, ..settings() }, 5);
     node.request(read(1, 9));
-    assert_eq!(count_sends(&node.advance(310 * MS)), 0, "not where two copies are forbidden");
+    assert_eq!(count_sends(&node.advance(310 * MS)), 0, "no hedge where duplicates are forbidden");
 }
 
 #[test]
 fn idle_connections_are_closed_when_keeping_them_costs_more_than_new_handshakes() {
-    // Found at 413 balancers before tables of 75: four in five attempts got no connection.
+    // With 413 balancers and servers with connection tables of 75, four in five attempts got no connection.
     let closes_idle = |balancer_count| {
         let base = Settings { connection_price: 0.03, handshake_price: 0.03, ..settings() };
         let mut node = TestNode::new(Settings { balancer_count, ..base }, 3);
@@ -1158,7 +1231,7 @@
 
 #[test]
 fn a_hot_key_is_not_sent_to_a_cold_server() {
-    // Incident ibfd28e: one request for a hot key from each of 1,096 balancers pushed a cold server over.
+    // One request for a hot key from each of 1,096 balancers crashed a cold server.
     let sent_to_cold = |hot: bool| {
         let tenants = vec![Tenant { quota_per_s: 100_000.0 }];
         let config = Settings { balancer_count: 1000, initial_capacity_share: 0.9, tenants, ..settings() };
@@ -1176,13 +1249,13 @@
         node.server_list(ListKind::Delta, vec![ServerEntry { started_at: node.now, ..server(2) }]);
         request_key(&mut node, 9999, key) == Some(2)
     };
-    assert!(sent_to_cold(false), "a key of its own goes there");
-    assert!(!sent_to_cold(true), "a hot one does not");
+    assert!(sent_to_cold(false), "a key requested once goes to the cold server");
+    assert!(!sent_to_cold(true), "a hot key does not");
 }
 
 #[test]
 fn a_latency_target_shorter_than_two_ticks_is_tolerated() {
-    // Found while reading: the wake-up at the aim lay before the present and underflowed.
+    // The timer for the latency target was due before the present, and its delay underflowed.
     let mut config = Settings { balancer_count: 0, ..settings() };
     config.classes[0].latency_target = 0;
     let mut node = TestNode::just_started(config, 2);
@@ -1200,7 +1273,7 @@
         let actions = node.outcome(1, 0, to, status);
         assert!(
             count_sends(&actions) == 0 && !is_shed(&actions, 1) && !is_failed(&actions, 1),
-            "repeated: {status:?}"
+            "duplicate: {status:?}"
         );
         let actions = node.outcome(77, 3, 4242, status);
         assert!(count_sends(&actions) == 0 && !is_shed(&actions, 77), "never sent: {status:?}");
@@ -1209,7 +1282,7 @@
     node.request(read(2, 9));
     node.deliver(Event::ClientGone(2));
     let late = node.outcome(2, 0, to, Status::Miss);
-    assert!(count_sends(&late) == 0 && !is_shed(&late, 2), "its client has left: no fetch, no answer");
+    assert!(count_sends(&late) == 0 && !is_shed(&late, 2), "the client disconnected: no fetch, no answer");
     assert!(count_sends(&node.advance(3 * SECOND)) == 0);
 }
 
@@ -1231,22 +1304,23 @@
     for id in 1..=30 {
         let actions =
             node.request(Request { tenant: id as usize % 2, value_bytes: f32::NAN, ..read(id, id) });
-        assert!(count_sends(&actions) == 1 || is_shed(&actions, id), "sent or refused");
+        assert!(count_sends(&actions) == 1 || is_shed(&actions, id), "sent or shed");
     }
     let after = node.advance(2 * SECOND);
-    assert!((1..=30).all(|id| is_shed(&node.actions, id)), "each is answered: {}", after.len());
+    assert!((1..=30).all(|id| is_shed(&node.actions, id)), "every request is answered: {}", after.len());
 }
 
 #[test]
 fn accumulated_tokens_do_not_prolong_an_overload() {
-    // Incident i291613: full buckets at 1,499 balancers were 15 s of traffic with the level at its floor.
+    // Full token buckets at 1,499 balancers held 15 s of traffic with the admission level at its minimum.
     let mut config = Settings { balancer_count: 1000, may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
     let mut node = TestNode::just_started(config, 500);
     let mut sent = Vec::new();
     for id in 1..=45u64 {
         node.advance(200 * MS);
-        sent.push(count_sends(&node.request(Request { tenant: id as usize % 9, ..read(id, id) }))); // None answers.
+        // None of these requests is answered.
+        sent.push(count_sends(&node.request(Request { tenant: id as usize % 9, ..read(id, id) })));
     }
     let (early, late) = (sent[..10].iter().sum::<usize>(), sent[25..].iter().sum::<usize>());
     assert!(early == 10 && late <= 2, "{early} of the first 10 sent, {late} of the last 20");
@@ -1254,18 +1328,18 @@
 
 #[test]
 fn a_server_filled_by_other_balancers_is_skipped_because_of_its_live_weight() {
-    // Found under shared slowness: queues of twelve a core, of which each balancer saw one request of its own.
+    // When all servers were slow, queues held twelve requests per core; each balancer saw one of its own.
     let config = Settings { weights_follow_load: true, may_duplicate: false, ..settings() };
     let mut node = TestNode::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     node.advance(200 * MS);
-    node.outcome(1, 0, first, Status::Success); // 0.2 s for one request without a queue
+    node.outcome(1, 0, first, Status::Success); // 0.2 s for one request without a queue.
     node.server_list(ListKind::Delta, vec![ServerEntry { weight: 0.1, ..server(first) }]);
-    let next = sent_to(&node.request(read(2, 9))).expect("another has room");
-    assert_ne!(next, first, "nine requests a core wait there");
+    let next = sent_to(&node.request(read(2, 9))).expect("another server has room");
+    assert_ne!(next, first, "nine requests per core wait there");
     let all = (1..=3).map(|id| ServerEntry { weight: 0.1, ..server(id) }).collect();
     node.server_list(ListKind::Delta, all);
-    assert!(is_shed(&node.request(read(3, 9)), 3), "all are full");
+    assert!(is_shed(&node.request(read(3, 9)), 3), "all servers are full");
 }
 
 #[test]
@@ -1274,7 +1348,7 @@
     node.server_list(ListKind::Full, Vec::new());
     assert!(is_shed(&node.request(read(1, 9)), 1));
     node.request(write(2, 1));
-    assert!(is_shed(&node.advance(SECOND), 2), "no origin: postponed, then refused");
+    assert!(is_shed(&node.advance(SECOND), 2), "no origin: deferred, then shed");
     node.server_list(ListKind::Full, vec![server(1), origin()]);
     assert_eq!(sent_to(&node.request(read(3, 9))), Some(1));
 }
@@ -1290,15 +1364,15 @@
 
 #[test]
 fn overtaken_timers_do_not_set_further_timers() {
-    // Found while mending r8274: each timer that had been overtaken set another one when it came, and so on
-    // for ever. A balancer that had been busy for a while spent its time on timers.
+    // Each overtaken timer set another one when it fired, without end, so that a balancer that had been busy
+    // for a while spent its time on timers.
     let mut node = TestNode::new(settings(), 5);
-    // Calls that a shut gate stops wait for a few milliseconds each, and so ever another one is the next.
+    // Calls blocked by the gate are deferred by a few ms each, so the earliest timer keeps changing.
     for id in 1..=400 {
         node.advance(2 * MS);
         node.request(write(id, 2));
     }
-    // What is left of the requests passes. Then only the reviews go on, eight to an aim.
+    // The remaining requests expire. After that only admission reviews run, eight per latency target.
     node.advance(3 * SECOND);
     let idle = node.advance(3 * SECOND);
     let timers = idle.iter().filter(|a| matches!(a, Action::Timer { .. })).count();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences (a fixed seed), and the rules that events and actions alone can show.
+//! Checks invariants of the decision module over random valid event sequences with a fixed seed: those that
+//! follow from events and actions alone.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,17 +11,41 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
+/// A step of a random run. An `index` is taken modulo the number of things it can refer to.
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
-    SendRequest { class: usize, tenant: usize, key: Key, write: bool, time_left: u64 },
-    EndAttempt { index: usize, status_index: usize },
-    BeginAnswer { index: usize },
-    DisconnectClient { index: usize },
-    ChangeServer { index: usize, state_index: u8, restarted: bool },
-    PublishFullList { present_mask: u32 },
+    SendRequest {
+        class: usize,
+        tenant: usize,
+        key: Key,
+        write: bool,
+        time_left: u64,
+    },
+    EndAttempt {
+        index: usize,
+        status_index: usize,
+    },
+    BeginAnswer {
+        index: usize,
+    },
+    DisconnectClient {
+        index: usize,
+    },
+    ChangeServer {
+        index: usize,
+        state_index: u8,
+        restarted: bool,
+    },
+    /// The bits of the mask say which servers are in the list.
+    PublishFullList {
+        present_mask: u32,
+    },
     FailDiscovery,
-    SendPeerMessage { from: u32, bytes: Vec<u8> },
+    SendPeerMessage {
+        from: u32,
+        bytes: Vec<u8>,
+    },
     RestartBalancer,
 }
 
@@ -29,15 +54,19 @@
     prop_oneof![
         6 => (0..60_000u64).prop_map(Step::Wait),
         1 => (0..3_000_000u64).prop_map(Step::Wait),
-        10 => request_fields.prop_map(|(class, tenant, key, write, time_left)| Step::SendRequest { class, tenant, key, write, time_left }),
-        10 => (any::<usize>(), 0..9usize).prop_map(|(index, status_index)| Step::EndAttempt { index, status_index }),
+        10 => request_fields.prop_map(|(class, tenant, key, write, time_left)| {
+            Step::SendRequest { class, tenant, key, write, time_left }
+        }),
+        10 => (any::<usize>(), 0..9usize)
+            .prop_map(|(index, status_index)| Step::EndAttempt { index, status_index }),
         1 => any::<usize>().prop_map(|index| Step::BeginAnswer { index }),
         1 => any::<usize>().prop_map(|index| Step::DisconnectClient { index }),
         2 => (any::<usize>(), 0..3u8, any::<bool>())
             .prop_map(|(index, state_index, restarted)| Step::ChangeServer { index, state_index, restarted }),
         1 => any::<u32>().prop_map(|present_mask| Step::PublishFullList { present_mask }),
         1 => Just(Step::FailDiscovery),
-        1 => (0..4u32, proptest::collection::vec(any::<u8>(), 0..40)).prop_map(|(from, bytes)| Step::SendPeerMessage { from, bytes }),
+        1 => (0..4u32, proptest::collection::vec(any::<u8>(), 0..40))
+            .prop_map(|(from, bytes)| Step::SendPeerMessage { from, bytes }),
         1 => Just(Step::RestartBalancer),
     ]
 }
@@ -82,6 +111,7 @@
     )
 }
 
+/// A request that still needs its final answer.
 struct OpenRequest {
     class: usize,
     deadline: u64,
@@ -96,7 +126,7 @@
     may_have_run: bool,
 }
 
-/// The world around one balancer: it knows what was promised and checks every action against it.
+/// The environment of one balancer: tracks requests and attempts and checks actions against the invariants.
 struct Environment {
     settings: Settings,
     policy: Policy,
@@ -104,7 +134,7 @@
     next_request_id: RequestId,
     server_entries: BTreeMap<ServerId, ServerEntry>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// Attempts out: request, number, server.
+    /// Attempts in flight: request, number of the attempt, server.
     attempts_in_flight: Vec<(RequestId, u16, ServerId)>,
     due_times: Vec<u64>,
     action_log: Vec<Action>,
@@ -136,6 +166,7 @@
         environment
     }
 
+    /// Delivers a list of all servers that are not removed.
     fn deliver_server_list(&mut self, kind: ListKind) {
         let servers = self
             .server_entries
@@ -146,6 +177,7 @@
         self.deliver(Event::ServerList { kind, servers });
     }
 
+    /// Passes an event to the policy and checks the actions that the policy returns.
     fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -155,28 +187,29 @@
         self.action_log.extend(actions);
     }
 
+    /// Checks an action against the invariants and records it.
     fn check_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, server, .. } => {
                 let open_request =
-                    self.open_requests.get(request).expect("a send for a request that has ended");
+                    self.open_requests.get(request).expect("an attempt for a request that has ended");
                 let entry = &self.server_entries[server];
-                assert_eq!(entry.state, ServerState::Ready, "a send to a draining or gone server");
+                assert_eq!(entry.state, ServerState::Ready, "an attempt at a draining or removed server");
                 assert!(
                     open_request.attempts.len() < self.settings.max_attempts as usize,
                     "too many attempts"
                 );
-                assert!(self.now < open_request.deadline, "a send after the request's time");
+                assert!(self.now < open_request.deadline, "an attempt after the request's deadline");
                 assert!(
                     self.settings.may_duplicate || open_request.attempts.iter().all(|a| !a.in_flight),
-                    "two copies out"
+                    "two attempts in flight"
                 );
                 let possibly_executed: Vec<_> =
                     open_request.attempts.iter().filter(|a| a.may_have_run).collect();
                 match self.settings.classes[open_request.class].idempotency {
                     Idempotency::Idempotent => {}
                     Idempotency::NonIdempotent => {
-                        assert!(possibly_executed.is_empty(), "an unsafe request sent twice")
+                        assert!(possibly_executed.is_empty(), "a non-idempotent request sent twice")
                     }
                     Idempotency::Deduplicated { scope, window } => {
                         for a in possibly_executed {
@@ -188,7 +221,7 @@
                             };
                             assert!(
                                 in_scope && self.now < a.sent_at + window,
-                                "a keyed request outside its group"
+                                "a deduplicated request sent outside its scope or window"
                             );
                         }
                     }
@@ -205,7 +238,7 @@
                     self.settings.classes[open_request.class].idempotency == Idempotency::Idempotent;
                 assert!(
                     idempotent || open_request.attempts.iter().all(|a| !a.may_have_run),
-                    "a refusal of what may have run"
+                    "a request shed that may have been executed"
                 );
             }
             Action::Fail(request) => {
@@ -213,11 +246,14 @@
             }
             Action::Timer { delay, .. } => self.due_times.push(self.now + (*delay).max(1)),
             Action::Tell { bytes, .. } => assert!(self.settings.may_message_peers && bytes.len() <= 256),
-            Action::Probe(_) | Action::Cancel { .. } => panic!("not allowed here"),
+            Action::Probe(_) | Action::Cancel { .. } => {
+                panic!("probes and cancellations are not allowed by these settings")
+            }
             _ => {}
         }
     }
 
+    /// Advances the clock and fires the timers that come due.
     fn advance(&mut self, time: u64) {
         let end = self.now + time;
         while let Some(due) = pop_due(&mut self.due_times, end) {
@@ -226,14 +262,14 @@
             let now = self.now;
             assert!(
                 self.open_requests.values().all(|o| now < o.deadline),
-                "a request without an answer at its end"
+                "a request without an answer at its deadline"
             );
         }
         self.now = end;
         let now = self.now;
         assert!(
             self.open_requests.values().all(|o| now <= o.deadline),
-            "a request without an answer at its end"
+            "a request without an answer at its deadline"
         );
     }
 
@@ -350,7 +386,7 @@
             let mut environment = Environment::new(settings.clone());
             steps.iter().for_each(|s| environment.run_step(s));
             environment.advance(2_000_000);
-            assert!(environment.open_requests.is_empty(), "everything is answered in the end");
+            assert!(environment.open_requests.is_empty(), "every request is answered in the end");
             environment.action_log
         };
         prop_assert_eq!(run_steps(), run_steps());
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: frames built by hand go in, replies are read byte by byte.
+//! Tests the simulator's adapter (`pondproxy-sim`) as a process: the tests write batches of event records to
+//! its standard input and read the replies from its standard output.
 #![allow(missing_docs)]
 
 use std::io::{Read, Write};
@@ -8,6 +9,7 @@
  "gain":1.0,"name":"a"}],"discovery":"ask","unknown":{"x":1},"limits":{"maxAttempts":3},
  "specifics":{"mode":"aside","originKind":1},"periodUs":1000}"#;
 
+/// A batch under construction: its event records and the tail that they refer to.
 #[derive(Default)]
 struct Batch {
     records: Vec<[u8; 48]>,
@@ -15,6 +17,7 @@
 }
 
 impl Batch {
+    /// Adds an event record with these fields, each an offset and its bytes.
     fn push_record(&mut self, code: u8, instance_id: u16, fields: &[(usize, &[u8])]) -> &mut Self {
         let mut record = [0u8; 48];
         record[0] = code;
@@ -26,6 +29,7 @@
         self
     }
 
+    /// Appends bytes to the tail and returns the field that refers to them: offset and item count.
     fn append_to_tail(&mut self, bytes: &[u8], count: usize) -> [u8; 8] {
         let mut field = [0u8; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
@@ -34,12 +38,13 @@
         field
     }
 
+    /// Adds the start of an instance.
     fn start_instance(&mut self, instance_id: u16, settings: &str) -> &mut Self {
         let tail_field = self.append_to_tail(settings.as_bytes(), settings.len());
         self.push_record(5, instance_id, &[(3, &7u64.to_le_bytes()), (11, &tail_field)])
     }
 
-    /// A list of ready servers (id and machine kind), then its number to the instance.
+    /// Adds a numbered list of ready servers (id, machine type) and an event that refers the instance to it.
     fn send_list(&mut self, instance_id: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
         let mut entries = Vec::new();
         for (id, machine_type) in servers {
@@ -55,6 +60,7 @@
         self.push_record(10, instance_id, &[(3, &number.to_le_bytes()), (9, &[kind])])
     }
 
+    /// Adds a request.
     fn send_request(&mut self, instance_id: u16, id: u64, key: u64) -> &mut Self {
         let time_left = 1_500_000u32.to_le_bytes();
         self.push_record(
@@ -64,6 +70,7 @@
         )
     }
 
+    /// Adds the outcome of an attempt.
     fn send_outcome(
         &mut self,
         instance_id: u16,
@@ -80,6 +87,7 @@
         )
     }
 
+    /// Returns the frame of this batch.
     fn encode(&self, now: u64, number: u32) -> Vec<u8> {
         let length = (self.records.len() * 48 + self.tail.len()) as u32;
         let mut frame = now.to_le_bytes().to_vec();
@@ -95,12 +103,13 @@
 fn spawn_adapter() -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondproxy-sim"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    command.spawn().expect("the wirehost starts")
+    command.spawn().expect("the adapter starts")
 }
 
+/// Runs the adapter with this input until it exits.
 fn run_adapter(input: &[u8]) -> Output {
     let mut child = spawn_adapter();
-    // It may stop reading at a fault: a broken pipe is then expected.
+    // The adapter stops reading at the first error, so a broken pipe is expected.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("ended")
 }
@@ -109,7 +118,7 @@
     u32::from_le_bytes(b[at..at + 4].try_into().unwrap())
 }
 
-/// The action records of the replies in an output, by batch.
+/// Splits an output into replies and returns the action records of each.
 fn decode_replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let mut batches = Vec::new();
     while !output.is_empty() {
@@ -122,6 +131,7 @@
     batches
 }
 
+/// Returns the attempts that these action records send: instance, request and server.
 fn sent_attempts(records: &[Vec<u8>]) -> Vec<(u16, u64, u32)> {
     let instance_id = |r: &[u8]| u16::from_le_bytes([r[1], r[2]]);
     let request_id = |r: &[u8]| u64::from_le_bytes(r[3..11].try_into().unwrap());
@@ -160,7 +170,10 @@
     first.start_instance(3, SETTINGS).send_list(3, 0, 1, &[(11, 0), (500, 1)]).send_request(3, 77, 9);
     let actions = exchange(&first, 1_000_000, 1);
     assert_eq!(sent_attempts(&actions), [(3, 77, 11)]);
-    assert!(actions.iter().any(|r| r[0] == 11 && r[3] == 1), "subscribes where discovery is asked");
+    assert!(
+        actions.iter().any(|r| r[0] == 11 && r[3] == 1),
+        "subscribes where the balancer must ask discovery"
+    );
     let mut second = Batch::default();
     second.send_outcome(3, 77, 0, 11, 204);
     assert_eq!(sent_attempts(&exchange(&second, 1_010_000, 2)), [(3, 77, 500)]);
@@ -309,6 +322,6 @@
         assert_eq!(output.status.code(), Some(1), "{expected}: {message}");
         assert!(message.contains(expected), "expected {expected:?} in {message:?}");
         assert_eq!(message.lines().count(), 1, "{message}");
-        assert!(output.stdout.is_empty(), "{expected}: no reply half written");
+        assert!(output.stdout.is_empty(), "{expected}: no partial reply");
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,4 @@
-//! The decision module stays small enough to be read in a day.
+//! Limits the size of the decision module, so that it can be read in a day.
 #![allow(missing_docs)]
 
 #[test]
@@ -12,7 +12,7 @@
     let line_counts = files.map(|text| text.lines().filter(|line| !line.trim().is_empty()).count());
     assert!(line_counts[0] <= 800, "{} lines of policy.rs that are not blank, 800 at most", line_counts[0]);
     let total = line_counts.iter().sum::<usize>();
-    assert!(total <= 1200, "{total} lines in all that are not blank, 1200 at most");
+    assert!(total <= 1200, "{total} lines in total that are not blank, 1200 at most");
     for (index, line) in files.iter().flat_map(|text| text.lines().enumerate()) {
         assert!(line.chars().count() <= 110, "line {} is longer than 110 columns: {line}", index + 1);
     }
