--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -212,16 +212,16 @@
                         assert!(possibly_executed.is_empty(), "a non-idempotent request sent twice")
                     }
                     Idempotency::Deduplicated { scope, window } => {
-                        for a in possibly_executed {
-                            let first_server = &self.server_entries[&a.server];
+                        for earlier_attempt in possibly_executed {
+                            let first_server = &self.server_entries[&earlier_attempt.server];
                             let in_scope = match scope {
                                 DedupScope::All => true,
                                 DedupScope::Zone => first_server.zone == entry.zone,
                                 DedupScope::Cell => first_server.cell == entry.cell,
                             };
                             assert!(
-                                in_scope && self.now < a.sent_at + window,
-                                "a deduplicated request sent outside its scope or window"
+                                in_scope && self.now < earlier_attempt.sent_at + window,
+                                "earlier_attempt deduplicated request sent outside its scope or window"
                             );
                         }
                     }
@@ -308,9 +308,9 @@
                     Status::Miss,
                 ][*status_index];
                 if let Some(open_request) = self.open_requests.get_mut(&request) {
-                    let a = &mut open_request.attempts[usize::from(attempt)];
-                    a.in_flight = false;
-                    a.may_have_run &= !status.never_executed();
+                    let ended_attempt = &mut open_request.attempts[usize::from(attempt)];
+                    ended_attempt.in_flight = false;
+                    ended_attempt.may_have_run &= !status.never_executed();
                 }
                 if status == Status::Success {
                     self.open_requests.remove(&request);
