--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -221,7 +221,7 @@
                             };
                             assert!(
                                 in_scope && self.now < earlier_attempt.sent_at + window,
-                                "earlier_attempt deduplicated request sent outside its scope or window"
+                                "a deduplicated request sent outside its scope or window"
                             );
                         }
                     }
