--- a/src/bin/pondproxy-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -86,10 +86,10 @@
 }
 
 /// Fewer sockets than this leave no room for clients and servers beside the node's own.
-const LEAST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 /// Less memory than this leaves no room beside the program itself.
-const LEAST_MEMORY_MB: usize = 16;
+const MIN_MEMORY_MB: usize = 16;
 
 impl NodeConfig {
     /// Reads the configuration that the environment names, at the start.
@@ -103,31 +103,31 @@
         Self::read(true)
     }
 
-    fn read(again: bool) -> Result<NodeConfig, ConfigError> {
-        let var = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
-        let path = var("ROUTER_CONFIG").ok_or(ConfigError::Unset("ROUTER_CONFIG"))?;
-        let text = std::fs::read(&path).map_err(|e| ConfigError::File(path, e))?;
-        let file: ConfigFile = serde_json::from_slice(&text).map_err(ConfigError::Json)?;
-        let address = |name, value: String| value.parse().map_err(|_| ConfigError::Field(name, value));
+    fn read(reloading: bool) -> Result<NodeConfig, ConfigError> {
+        let env_var = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
+        let path = env_var("ROUTER_CONFIG").ok_or(ConfigError::Unset("ROUTER_CONFIG"))?;
+        let contents = std::fs::read(&path).map_err(|e| ConfigError::File(path, e))?;
+        let file: ConfigFile = serde_json::from_slice(&contents).map_err(ConfigError::Json)?;
+        let parse_address = |name, value: String| value.parse().map_err(|_| ConfigError::Field(name, value));
         let settings = file.settings.ok_or_else(|| ConfigError::Field("settings", String::new()))?;
         let deployment = settings::parse(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
         if deployment.classes.is_empty() {
             return Err(ConfigError::Settings("the settings name no class of requests".into()));
         }
-        if file.limits.sockets < LEAST_SOCKETS {
+        if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::Field("limits.sockets", file.limits.sockets.to_string()));
         }
-        if file.limits.memory_mb < LEAST_MEMORY_MB {
+        if file.limits.memory_mb < MIN_MEMORY_MB {
             return Err(ConfigError::Field("limits.memory_mb", file.limits.memory_mb.to_string()));
         }
-        let discovery = match var("ROUTER_DISCOVERY") {
-            Some(at_start) if !again || file.discovery.is_empty() => at_start,
+        let discovery = match env_var("ROUTER_DISCOVERY") {
+            Some(env_address) if !reloading || file.discovery.is_empty() => env_address,
             _ => file.discovery,
         };
         let seed = u64::from_str_radix(&file.seed, 16);
         Ok(NodeConfig {
-            listen: address("listen", var("ROUTER_LISTEN").unwrap_or(file.listen))?,
-            discovery: address("discovery", discovery)?,
+            listen: parse_address("listen", env_var("ROUTER_LISTEN").unwrap_or(file.listen))?,
+            discovery: parse_address("discovery", discovery)?,
             seed: seed.unwrap_or_else(|_| xxh3_64(file.seed.as_bytes())),
             sockets: file.limits.sockets.min(1024),
             memory_mb: file.limits.memory_mb,
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -23,9 +23,9 @@
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 /// The longest is no more than this part of the time within which sends to a server that drains must stop:
 /// what the agent learns counts as notified at once, also while no watch is open.
-const GRACE_PART: u32 = 4;
+const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
 /// Calls that were superseded and have not ended yet, at most: each holds a descriptor of the node's reserve.
-const MAX_REPLACED: usize = 3;
+const MAX_SUPERSEDED_CALLS: usize = 3;
 
 /// Names a call to discovery; never used twice.
 pub type CallId = u64;
@@ -70,7 +70,7 @@
 pub struct Discovery {
     address: SocketAddr,
     /// Where it is from the next call on.
-    moved: Option<SocketAddr>,
+    next_address: Option<SocketAddr>,
     /// Version of the list held.
     index: Arc<AtomicU64>,
     event_sender: mpsc::Sender<NodeEvent>,
@@ -80,9 +80,9 @@
     superseded: VecDeque<CallTask>,
     fetch: Option<CallTask>,
     /// The call that was made last.
-    last: CallId,
+    last_call_id: CallId,
     /// The watch that was opened last, for those that would open theirs again.
-    followed: Arc<AtomicU64>,
+    latest_watch_id: Arc<AtomicU64>,
     drain_grace: Duration,
 }
 
@@ -97,14 +97,14 @@
     ) -> Self {
         Discovery {
             address,
-            moved: None,
+            next_address: None,
             index: Arc::new(AtomicU64::new(index)),
             event_sender,
             watch: None,
             superseded: VecDeque::new(),
             fetch: None,
-            last: 0,
-            followed: Arc::default(),
+            last_call_id: 0,
+            latest_watch_id: Arc::default(),
             drain_grace,
         }
     }
@@ -112,25 +112,25 @@
     /// Discovery is at another address from the next call on. Until then the watch at the old one stays, which
     /// goes on for a while after a move.
     pub fn move_to(&mut self, address: SocketAddr) {
-        self.moved = Some(address);
+        self.next_address = Some(address);
     }
 
     /// Whether it has moved, and no call has been made since.
     pub fn move_pending(&self) -> bool {
-        self.moved.is_some()
+        self.next_address.is_some()
     }
 
     /// Where discovery is.
     pub fn address(&self) -> SocketAddr {
-        self.moved.unwrap_or(self.address)
+        self.next_address.unwrap_or(self.address)
     }
 
     /// How a call stands to the others.
     pub fn call_status(&self, id: CallId) -> CallStatus {
-        let is = |call: &CallTask| call.id == id;
-        if self.watch.iter().chain(&self.fetch).any(is) {
+        let has_id = |call: &CallTask| call.id == id;
+        if self.watch.iter().chain(&self.fetch).any(has_id) {
             CallStatus::Current
-        } else if self.superseded.iter().any(is) {
+        } else if self.superseded.iter().any(has_id) {
             CallStatus::Superseded
         } else {
             CallStatus::Ended
@@ -160,82 +160,86 @@
     }
 
     /// Begins the watch, anew if there is one, or ends it.
-    pub fn subscribe(&mut self, on: bool) {
-        let call = self.next_call();
-        if !on {
+    pub fn subscribe(&mut self, subscribed: bool) {
+        let call_parameters = self.new_watch_call();
+        if !subscribed {
             return self.superseded.clear();
         }
-        let (id, index) = (call.id, self.index.clone());
-        let call = call.begin();
-        self.watch = Some(open(id, async move { call.watch(&index).await }));
+        let (id, index) = (call_parameters.id, self.index.clone());
+        let call = call_parameters.start();
+        self.watch = Some(spawn_call(id, async move { call.watch(&index).await }));
     }
 
     /// Asks for the whole list once.
     pub fn fetch(&mut self) {
-        let call = self.call_here();
-        self.fetch = Some(open(call.id, call.begin().fetch()));
+        let call_parameters = self.new_call();
+        self.fetch = Some(spawn_call(call_parameters.id, call_parameters.start().fetch()));
     }
 
     /// Where lists are pushed, an agent on this machine has them: its watch is opened again by itself.
     pub fn watch_pushed_lists(&mut self) {
-        let next = self.next_call();
-        let (id, index, drain_grace) = (next.id, self.index.clone(), self.drain_grace);
-        self.followed.store(id, Ordering::Relaxed);
-        let followed = self.followed.clone();
-        let follow = async move {
+        let call_parameters = self.new_watch_call();
+        let (id, index, drain_grace) = (call_parameters.id, self.index.clone(), self.drain_grace);
+        self.latest_watch_id.store(id, Ordering::Relaxed);
+        let latest_watch_id = self.latest_watch_id.clone();
+        let keep_watch_open = async move {
             let mut pause = BACKOFF.0;
             // One that was superseded stays to its end and is not opened again.
-            while followed.load(Ordering::Relaxed) == id {
-                let begun = Instant::now();
-                next.begin().watch_quietly(&index).await;
-                pause = next_pause(pause, begun.elapsed(), drain_grace);
+            while latest_watch_id.load(Ordering::Relaxed) == id {
+                let opened_at = Instant::now();
+                call_parameters.start().watch_quietly(&index).await;
+                pause = next_backoff(pause, opened_at.elapsed(), drain_grace);
                 tokio::time::sleep(pause).await;
             }
         };
-        self.watch = Some(open(id, follow));
+        self.watch = Some(spawn_call(id, keep_watch_open));
     }
 
     /// Turns to where discovery is now, and sets the watch that is open aside until the next call is answered. Against a
     /// list that stands still: a new discovery counts versions in its own way, so that the whole list is taken from it.
-    fn next_call(&mut self) -> NextCall {
+    fn new_watch_call(&mut self) -> CallParameters {
         self.superseded.extend(self.watch.take());
-        if self.superseded.len() > MAX_REPLACED {
+        if self.superseded.len() > MAX_SUPERSEDED_CALLS {
             self.superseded.pop_front();
         }
-        if let Some(address) = self.moved.take() {
+        if let Some(address) = self.next_address.take() {
             (self.address, self.index, self.fetch) = (address, Arc::default(), None);
         }
-        self.call_here()
+        self.new_call()
     }
 
     /// A call to where discovery was called last.
-    fn call_here(&mut self) -> NextCall {
-        self.last += 1;
-        NextCall { id: self.last, address: self.address, event_sender: self.event_sender.clone() }
+    fn new_call(&mut self) -> CallParameters {
+        self.last_call_id += 1;
+        CallParameters {
+            id: self.last_call_id,
+            address: self.address,
+            event_sender: self.event_sender.clone(),
+        }
     }
 }
 
 /// All that a call needs to begin.
-struct NextCall {
+struct CallParameters {
     id: CallId,
     address: SocketAddr,
     event_sender: mpsc::Sender<NodeEvent>,
 }
 
-impl NextCall {
-    fn begin(&self) -> Call {
+impl CallParameters {
+    fn start(&self) -> Call {
         Call::new(self.id, self.address, self.event_sender.clone())
     }
 }
 
-fn open(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> CallTask {
+fn spawn_call(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> CallTask {
     CallTask { id, task: tokio::spawn(call).abort_handle() }
 }
 
 /// The pause after a watch on pushed lists that stood for some time, and after a pause before it.
-fn next_pause(before: Duration, stood: Duration, drain_grace: Duration) -> Duration {
-    let longest = (drain_grace / GRACE_PART).clamp(BACKOFF.0, BACKOFF.1);
-    if stood > BACKOFF.1 { BACKOFF.0 } else { (before * 2).min(longest) }
+fn next_backoff(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
+    let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(BACKOFF.0, BACKOFF.1);
+    if open_duration > BACKOFF.1 { BACKOFF.0 } else { (previous * 2).min(max_pause) }
 }
 
 #[cfg(test)]
@@ -243,17 +247,20 @@
     use super::*;
 
     #[test]
-    fn a_watch_on_pushed_lists_is_opened_again_well_within_the_grace_of_a_drain() {
+    fn a_watch_on_pushed_lists_reopens_within_half_of_the_drain_grace_time() {
         for grace in [200, 700, 2_000, 60_000].map(Duration::from_millis) {
             let (mut pause, mut longest) = (BACKOFF.0, Duration::ZERO);
             for _ in 0..20 {
-                pause = next_pause(pause, Duration::from_millis(1), grace);
+                pause = next_backoff(pause, Duration::from_millis(1), grace);
                 longest = longest.max(pause);
             }
             let bound = (grace / 2).min(BACKOFF.1);
             assert!(longest <= bound && longest >= BACKOFF.0, "{longest:?} of a grace of {grace:?}");
-            let again = next_pause(longest, Duration::from_secs(60), grace);
-            assert_eq!(again, BACKOFF.0, "one that stood for long, whether or not it had anything to tell");
+            let after_stable_watch = next_backoff(longest, Duration::from_secs(60), grace);
+            assert_eq!(
+                after_stable_watch, BACKOFF.0,
+                "one that stood for long, whether or not it had anything to tell"
+            );
         }
     }
 }
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -17,17 +17,17 @@
 use crate::log;
 use crate::stream_io;
 
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Calls wait in turn at discovery: it is given this long to begin its answer. What it has to tell counts as
 /// notified six seconds after it fell silent, and the call after a silence may be silent too: with these two limits
 /// there is time for a third.
-const ANSWER: Duration = Duration::from_millis(2_500);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A watch brings a line every two seconds: one that is silent for longer is dead.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Answers are read in pieces of this size.
-const PIECE: usize = 16 * 1024;
+const READ_SIZE_BYTES: usize = 16 * 1024;
 /// The longest list.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call to discovery ended.
 enum CallError {
@@ -36,13 +36,13 @@
     /// It broke.
     Io(std::io::Error),
     /// It was silent for too long.
-    Silent,
+    TimedOut,
     /// It was turned away.
     Status(u16),
     /// It brought what is no list; the list held stays in force.
     Malformed,
     /// Its answer ended before it was whole, perhaps in a list.
-    CutOff,
+    Truncated,
 }
 
 impl std::fmt::Display for CallError {
@@ -50,23 +50,23 @@
         match self {
             CallError::Unreachable(e) => write!(f, "no connection: {e}"),
             CallError::Io(e) => write!(f, "{e}"),
-            CallError::Silent => write!(f, "silent for too long"),
+            CallError::TimedOut => write!(f, "silent for too long"),
             CallError::Status(status) => write!(f, "answered with status {status}"),
             CallError::Malformed => write!(f, "brought no list"),
-            CallError::CutOff => write!(f, "its answer was cut off"),
+            CallError::Truncated => write!(f, "its answer was cut off"),
         }
     }
 }
 
 impl CallError {
     /// What it means for the next call, of one that was answered or not.
-    fn failure(&self, answered: bool) -> DiscoveryFailure {
+    fn failure(&self, synchronized: bool) -> DiscoveryFailure {
         match self {
             CallError::Unreachable(_) => DiscoveryFailure::Unreachable,
-            CallError::Silent => DiscoveryFailure::TimedOut,
-            CallError::CutOff => DiscoveryFailure::Interrupted,
+            CallError::TimedOut => DiscoveryFailure::TimedOut,
+            CallError::Truncated => DiscoveryFailure::Interrupted,
             // A reset takes with it what was written and not yet read.
-            CallError::Io(_) if answered => DiscoveryFailure::Interrupted,
+            CallError::Io(_) if synchronized => DiscoveryFailure::Interrupted,
             CallError::Io(_) | CallError::Status(_) | CallError::Malformed => DiscoveryFailure::Failed,
         }
     }
@@ -96,28 +96,28 @@
     address: SocketAddr,
     event_sender: mpsc::Sender<NodeEvent>,
     /// Until when all that discovery had to tell has been heard.
-    heard: Instant,
+    last_contact_at: Instant,
     /// Whether anything has been heard.
-    answered: bool,
+    synchronized: bool,
 }
 
 impl Call {
     /// A call that begins now.
     pub fn new(id: CallId, address: SocketAddr, event_sender: mpsc::Sender<NodeEvent>) -> Self {
-        Call { id, address, event_sender, heard: Instant::now(), answered: false }
+        Call { id, address, event_sender, last_contact_at: Instant::now(), synchronized: false }
     }
 
     /// Opens a watch on what changes after a version, and reports how it ended.
     pub async fn watch(mut self, index: &AtomicU64) {
-        let ended = self.stream(&watch_path(index)).await;
-        self.report_end(ended).await;
+        let result = self.receive_lists(&watch_path(index)).await;
+        self.report_end(result).await;
     }
 
     /// Opens a watch and reports nothing of its end, which is logged only if it brought something.
     pub async fn watch_quietly(mut self, index: &AtomicU64) {
-        let ended = self.stream(&watch_path(index)).await;
-        if let Err(e) = ended
-            && self.answered
+        let result = self.receive_lists(&watch_path(index)).await;
+        if let Err(e) = result
+            && self.synchronized
         {
             log(&format!("discovery: {e}"));
         }
@@ -125,49 +125,49 @@
 
     /// Asks for the whole list once.
     pub async fn fetch(mut self) {
-        let ended = self.stream("/v1/servers").await;
-        if ended.is_err() {
-            self.report_end(ended).await;
+        let result = self.receive_lists("/v1/servers").await;
+        if result.is_err() {
+            self.report_end(result).await;
         }
     }
 
-    async fn report(&self, news: CallEvent) {
-        let _ = self.event_sender.send(NodeEvent::Discovery(self.id, news)).await;
+    async fn report(&self, event: CallEvent) {
+        let _ = self.event_sender.send(NodeEvent::Discovery(self.id, event)).await;
     }
 
     /// Logs how the call ended, and tells as much as matters for the next.
-    async fn report_end(&self, ended: Result<(), CallError>) {
-        match &ended {
+    async fn report_end(&self, result: Result<(), CallError>) {
+        match &result {
             Ok(()) => log("discovery: the watch has ended"),
             Err(e) => log(&format!("discovery: {e}")),
         }
-        let failure = ended.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.answered));
-        self.report(CallEvent::Failed { failure, since_last_contact: self.heard.elapsed() }).await;
+        let failure = result.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.synchronized));
+        self.report(CallEvent::Failed { failure, since_last_contact: self.last_contact_at.elapsed() }).await;
     }
 
     /// Makes the call and reports each list of its answer, until that ends.
-    async fn stream(&mut self, path: &str) -> Result<(), CallError> {
-        let begun = Instant::now();
+    async fn receive_lists(&mut self, path: &str) -> Result<(), CallError> {
+        let started_at = Instant::now();
         let stream = self.connect(path).await?;
         let mut raw = BytesMut::new();
         let head = read_head(&stream, &mut raw).await?;
         if head.status != 200 {
             return Err(CallError::Status(head.status));
         }
-        log(&format!("discovery: {} answers after {} ms", self.address, begun.elapsed().as_millis()));
-        let mut body = Body { left: head.content_length.unwrap_or(usize::MAX), ..Body::default() };
-        body.chunks = head.chunked.then(ChunkedDecoder::default);
-        let ended = self.read_lists(&stream, &mut raw, &mut body).await;
-        if ended.is_err() {
-            self.report_fragment(&body.content).await;
+        log(&format!("discovery: {} answers after {} ms", self.address, started_at.elapsed().as_millis()));
+        let mut body = Body { remaining_bytes: head.content_length.unwrap_or(usize::MAX), ..Body::default() };
+        body.chunked_decoder = head.chunked.then(ChunkedDecoder::default);
+        let result = self.read_lists(&stream, &mut raw, &mut body).await;
+        if result.is_err() {
+            self.report_partial_list(&body.content).await;
         }
-        ended
+        result
     }
 
     async fn connect(&self, path: &str) -> Result<TcpStream, CallError> {
         let address = self.address;
         log(&format!("discovery: calling {address}{path}"));
-        let connect = async { timeout(CONNECT, TcpStream::connect(address)).await? };
+        let connect = async { timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await? };
         let stream = connect.await.map_err(CallError::Unreachable)?;
         let _ = stream.set_nodelay(true);
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
@@ -182,33 +182,35 @@
         body: &mut Body,
     ) -> Result<(), CallError> {
         // All limits are points in time: what trickles in moves none of them.
-        let mut by = Instant::now() + SILENCE;
+        let mut read_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
         loop {
-            body.take(raw)?;
+            body.consume(raw)?;
             if (body.ended || body.content.contains(&b'\n')) && self.report_lists(&mut body.content).await? {
-                by = self.heard + SILENCE;
+                read_deadline = self.last_contact_at + WATCH_IDLE_TIMEOUT;
             }
             if body.ended {
                 // What is left over is a list that was cut off.
-                return if body.content.is_empty() { Ok(()) } else { Err(CallError::CutOff) };
+                return if body.content.is_empty() { Ok(()) } else { Err(CallError::Truncated) };
             }
-            if body.content.len() > MAX_LIST {
+            if body.content.len() > MAX_LIST_BYTES {
                 return Err(CallError::Malformed);
             }
-            let read = timeout_at(by, read_piece(stream, raw)).await.map_err(|_| CallError::Silent)?;
+            let read = timeout_at(read_deadline, read_available(stream, raw))
+                .await
+                .map_err(|_| CallError::TimedOut)?;
             if !matches!(read, Ok(count) if count > 0) {
-                if self.answered && body.content.is_empty() {
+                if self.synchronized && body.content.is_empty() {
                     // Between two lists: up to the break there was no more to tell.
-                    self.heard = Instant::now();
+                    self.last_contact_at = Instant::now();
                 }
                 read?;
-                return Err(CallError::CutOff);
+                return Err(CallError::Truncated);
             }
         }
     }
 
     /// Reports what came whole of a list that was cut off.
-    async fn report_fragment(&self, content: &[u8]) {
+    async fn report_partial_list(&self, content: &[u8]) {
         let endpoints = list::whole_entries(content);
         if !endpoints.is_empty() {
             self.report(CallEvent::PartialList(ListUpdate { endpoints, ..ListUpdate::default() })).await;
@@ -217,37 +219,39 @@
 
     /// Reports the lists that are whole; tells whether there was one, or an empty line.
     async fn report_lists(&mut self, content: &mut BytesMut) -> Result<bool, CallError> {
-        let taken = list::take_lists(content)?;
-        for list in taken.lists {
+        let parsed = list::take_lists(content)?;
+        for list in parsed.lists {
             self.report(CallEvent::List(list)).await;
         }
-        if taken.any_received {
-            self.heard = Instant::now();
-            if !std::mem::replace(&mut self.answered, true) {
+        if parsed.any_received {
+            self.last_contact_at = Instant::now();
+            if !std::mem::replace(&mut self.synchronized, true) {
                 self.report(CallEvent::Synchronized).await;
             }
         }
-        Ok(taken.any_received)
+        Ok(parsed.any_received)
     }
 }
 
-async fn read_piece(stream: &TcpStream, raw: &mut BytesMut) -> std::io::Result<usize> {
-    raw.reserve(PIECE);
+async fn read_available(stream: &TcpStream, raw: &mut BytesMut) -> std::io::Result<usize> {
+    raw.reserve(READ_SIZE_BYTES);
     stream_io::read(stream, raw).await
 }
 
 fn watch_path(index: &AtomicU64) -> String {
     match index.load(Ordering::Relaxed) {
         0 => "/v1/servers?watch=1".into(),
-        held => format!("/v1/servers?watch=1&after={held}"),
+        version => format!("/v1/servers?watch=1&after={version}"),
     }
 }
 
 /// Reads until the head of the answer is whole, and takes it off what was read.
 async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
-    let by = Instant::now() + ANSWER;
+    let read_deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
     loop {
-        let count = timeout_at(by, read_piece(stream, raw)).await.map_err(|_| CallError::Silent)??;
+        let count = timeout_at(read_deadline, read_available(stream, raw))
+            .await
+            .map_err(|_| CallError::TimedOut)??;
         if let Some(head) = http::head(raw)? {
             let _ = raw.split_to(head.length);
             return Ok(head);
@@ -264,23 +268,23 @@
     /// Its content, as far as it was not taken for a list.
     content: BytesMut,
     /// Takes the chunks apart, where it comes in such.
-    chunks: Option<ChunkedDecoder>,
+    chunked_decoder: Option<ChunkedDecoder>,
     /// What is still to come of a stated length.
-    left: usize,
+    remaining_bytes: usize,
     /// Nothing more belongs to it.
     ended: bool,
 }
 
 impl Body {
     /// Takes what belongs to it off what was read.
-    fn take(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
-        if let Some(chunks) = &mut self.chunks {
-            self.ended |= chunks.decode(raw, &mut self.content)?;
+    fn consume(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
+        if let Some(chunked_decoder) = &mut self.chunked_decoder {
+            self.ended |= chunked_decoder.decode(raw, &mut self.content)?;
         } else {
-            let part = raw.split_to(raw.len().min(self.left));
-            self.left -= part.len();
-            self.content.extend_from_slice(&part);
-            self.ended |= self.left == 0;
+            let body_part = raw.split_to(raw.len().min(self.remaining_bytes));
+            self.remaining_bytes -= body_part.len();
+            self.content.extend_from_slice(&body_part);
+            self.ended |= self.remaining_bytes == 0;
         }
         Ok(())
     }
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -36,14 +36,14 @@
     /// Whether it runs, leaves or has left.
     pub status: String,
     /// Its weight.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f32,
     /// When it last started, in milliseconds of Unix time; 0 for long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-fn one() -> f32 {
+fn default_weight() -> f32 {
     1.0
 }
 
@@ -64,28 +64,28 @@
 /// that of a line.
 pub fn take_lists(body: &mut BytesMut) -> Result<ParsedLists, MalformedList> {
     let mut parsed = serde_json::Deserializer::from_slice(body).into_iter::<ListUpdate>();
-    let (mut lists, mut used) = (Vec::new(), 0);
+    let (mut lists, mut consumed) = (Vec::new(), 0);
     while let Some(list) = parsed.next() {
         match list {
             Ok(list) => {
                 lists.push(list);
-                used = parsed.byte_offset();
+                consumed = parsed.byte_offset();
             }
             Err(e) if e.is_eof() => break,
             Err(_) => return Err(MalformedList),
         }
     }
-    let rest = &body[used..];
-    let blank = rest.len() - rest.trim_ascii_start().len();
-    let any_received = used > 0 || rest[..blank].contains(&b'\n');
-    body.advance(used + blank);
+    let rest = &body[consumed..];
+    let leading_blank = rest.len() - rest.trim_ascii_start().len();
+    let any_received = consumed > 0 || rest[..leading_blank].contains(&b'\n');
+    body.advance(consumed + leading_blank);
     Ok(ParsedLists { lists, any_received })
 }
 
 /// The entries that came whole of a list that was cut off.
-pub fn whole_entries(cut_off: &[u8]) -> Vec<Endpoint> {
+pub fn whole_entries(truncated: &[u8]) -> Vec<Endpoint> {
     let mut entries = Vec::new();
-    let Some(mut rest) = entries_of(cut_off) else { return entries };
+    let Some(mut rest) = after_entries_bracket(truncated) else { return entries };
     loop {
         let next = rest.trim_ascii_start();
         rest = next.strip_prefix(b",").unwrap_or(next);
@@ -97,10 +97,10 @@
 }
 
 /// What follows the bracket that opens the entries of a list.
-fn entries_of(list: &[u8]) -> Option<&[u8]> {
-    const NAME: &[u8] = b"\"endpoints\"";
-    let at = list.windows(NAME.len()).position(|part| part == NAME)?;
-    let value = list[at + NAME.len()..].trim_ascii_start().strip_prefix(b":")?;
+fn after_entries_bracket(list: &[u8]) -> Option<&[u8]> {
+    const ENTRIES_KEY: &[u8] = b"\"endpoints\"";
+    let key_start = list.windows(ENTRIES_KEY.len()).position(|part| part == ENTRIES_KEY)?;
+    let value = list[key_start + ENTRIES_KEY.len()..].trim_ascii_start().strip_prefix(b":")?;
     value.trim_ascii_start().strip_prefix(b"[")
 }
 
@@ -109,23 +109,23 @@
     use super::*;
 
     #[test]
-    fn each_entry_that_came_whole_is_taken_wherever_a_list_is_cut_off() {
+    fn every_complete_entry_is_returned_wherever_a_list_is_truncated() {
         let entry = |name: &str| format!(r#"{{"name":"{name}", "status":"leaving"}}"#);
-        for between in [",", " ,\n  "] {
-            let entries = ["a", "b", "c"].map(entry).join(between);
+        for separator in [",", " ,\n  "] {
+            let entries = ["a", "b", "c"].map(entry).join(separator);
             let list = format!("{{\"index\":7, \"endpoints\" : [ {entries} ]}}");
             let ends: Vec<_> = list.match_indices('}').map(|(at, _)| at).take(3).collect();
             for cut in 0..list.len() {
                 let names: Vec<_> =
                     whole_entries(&list.as_bytes()[..cut]).into_iter().map(|e| e.name).collect();
-                let whole = ends.iter().filter(|end| **end < cut).count();
-                assert_eq!(names, ["a", "b", "c"][..whole], "{}", &list[..cut]);
+                let complete = ends.iter().filter(|end| **end < cut).count();
+                assert_eq!(names, ["a", "b", "c"][..complete], "{}", &list[..cut]);
             }
         }
     }
 
     #[test]
-    fn what_is_no_list_has_no_entries() {
+    fn input_that_is_not_a_list_yields_no_entries() {
         for text in [
             &b""[..],
             b"{\"endpoints\"",
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -48,48 +48,48 @@
 /// The node's one clock: Unix time in microseconds at the start, and steady from there on.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    unix: Micros,
+    start_instant: Instant,
+    unix_start: Micros,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as Micros }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start_instant: Instant::now(), unix_start: since_epoch.as_micros() as Micros }
     }
 
     /// The time.
     pub fn now(self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix_start + self.start_instant.elapsed().as_micros() as Micros
     }
 
     /// The instant of a time.
-    fn instant(self, at: Micros) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at.saturating_sub(self.unix))).into()
+    fn to_instant(self, at: Micros) -> tokio::time::Instant {
+        (self.start_instant + Duration::from_micros(at.saturating_sub(self.unix_start))).into()
     }
 }
 
 /// After SIGTERM, connections go on being taken for this long: new ones keep coming for up to 0.4 s.
-const ACCEPT_ON: Micros = 450_000;
+const ACCEPT_AFTER_TERMINATE_US: Micros = 450_000;
 /// A node that drains ends this long after the longest deadline at the latest.
-const DRAIN_SLACK: Micros = 550_000;
-const SWEEP: Micros = 1_000_000;
+const DRAIN_MARGIN_US: Micros = 550_000;
+const IDLE_SWEEP_INTERVAL_US: Micros = 1_000_000;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum NodeTimer {
     /// A timer of the module.
     Policy(u32),
     /// An attempt is given up.
-    Attempt(RequestId, u16),
+    AttemptTimeout(RequestId, u16),
     /// A client's time is up.
-    Deadline(RequestId),
+    RequestDeadline(RequestId),
     /// Idle connections are looked through.
-    Sweep,
+    IdleSweep,
     /// Connections of clients are closed from now on.
-    Drain,
+    BeginDrain,
     /// Whether all is answered is looked at.
-    Ended,
+    DrainCheck,
 }
 
 struct OpenRequest {
@@ -100,17 +100,17 @@
     reply_sender: mpsc::Sender<ClientReply>,
     /// Held while there is something to send.
     reservation: Option<MemoryReservation>,
-    ends: Micros,
-    sent: u16,
+    deadline: Micros,
+    attempts_sent: u16,
     /// Attempts without an outcome.
-    out: u16,
-    over: bool,
+    attempts_in_flight: u16,
+    finished: bool,
 }
 
 struct Attempt {
     server: ServerId,
-    sent: Micros,
-    conn: ConnId,
+    sent_at: Micros,
+    conn_id: ConnId,
 }
 
 /// The node.
@@ -120,15 +120,15 @@
     policy: Policy,
     events: VecDeque<Event>,
     timers: BinaryHeap<Reverse<(Micros, NodeTimer)>>,
-    open: HashMap<RequestId, OpenRequest>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     attempts: HashMap<AttemptId, Attempt>,
-    next: RequestId,
+    next_request_id: RequestId,
     servers: ServerTable,
     pool: UpstreamPool,
     memory: MemoryBudget,
     discovery: Discovery,
-    known: Option<ListUpdate>,
-    ends_at: Option<Micros>,
+    cached_list: Option<ListUpdate>,
+    drain_deadline: Option<Micros>,
 }
 
 impl Node {
@@ -146,9 +146,9 @@
             policy: Policy::new(deployment.settings.clone(), config.seed),
             events: VecDeque::new(),
             timers: BinaryHeap::new(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             attempts: HashMap::new(),
-            next: 1,
+            next_request_id: 1,
             servers: ServerTable::new(deployment.clone()),
             pool: UpstreamPool::new(
                 connection_slots,
@@ -163,8 +163,8 @@
                 Duration::from_micros(deployment.settings.drain_grace_time),
                 event_sender,
             ),
-            known: Some(config.known),
-            ends_at: None,
+            cached_list: Some(config.known),
+            drain_deadline: None,
             deployment,
         }
     }
@@ -174,70 +174,74 @@
         mut self,
         mut event_receiver: mpsc::Receiver<NodeEvent>,
         phase: watch::Sender<Phase>,
-        idle: impl Fn() -> bool,
+        no_clients_connected: impl Fn() -> bool,
     ) {
-        if let Some(known) = self.known.take() {
-            self.list(known, Some(ListKind::Cached));
+        if let Some(cached_list) = self.cached_list.take() {
+            self.apply_list(cached_list, Some(ListKind::Cached));
         }
         if !self.deployment.settings.pull_discovery {
             self.discovery.watch_pushed_lists();
         }
-        self.timers.push(Reverse((self.clock.now() + SWEEP, NodeTimer::Sweep)));
+        self.timers.push(Reverse((self.clock.now() + IDLE_SWEEP_INTERVAL_US, NodeTimer::IdleSweep)));
         let mut ready = false;
         loop {
             if !ready && self.servers.any_ready() {
                 ready = true;
-                phase.send_if_modified(|p| {
-                    *p == Phase::Starting && {
-                        *p = Phase::Ready;
+                phase.send_if_modified(|current| {
+                    *current == Phase::Starting && {
+                        *current = Phase::Ready;
                         true
                     }
                 });
             }
             let now = self.clock.now();
             while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                let Some(Reverse((_, due))) = self.timers.pop() else { break };
-                match due {
-                    NodeTimer::Drain => drop(phase.send(Phase::Draining)),
-                    NodeTimer::Ended => {
-                        let late = self.ends_at.is_some_and(|at| now >= at);
-                        if late || (self.open.values().all(|open| open.over) && idle()) {
+                let Some(Reverse((_, timer))) = self.timers.pop() else { break };
+                match timer {
+                    NodeTimer::BeginDrain => drop(phase.send(Phase::Draining)),
+                    NodeTimer::DrainCheck => {
+                        let past_deadline = self.drain_deadline.is_some_and(|at| now >= at);
+                        if past_deadline
+                            || (self.open_requests.values().all(|open_request| open_request.finished)
+                                && no_clients_connected())
+                        {
                             return;
                         }
-                        self.timers.push(Reverse((now + 10_000, NodeTimer::Ended)));
+                        self.timers.push(Reverse((now + 10_000, NodeTimer::DrainCheck)));
                     }
-                    other => self.due(other, now),
+                    other_timer => self.handle_timer(other_timer, now),
                 }
             }
-            let next = self.timers.peek().map_or(now + SWEEP, |Reverse((at, _))| *at);
+            let next_timer_at =
+                self.timers.peek().map_or(now + IDLE_SWEEP_INTERVAL_US, |Reverse((at, _))| *at);
             tokio::select! {
                 biased;
-                input = event_receiver.recv() => match input {
-                    Some(input) => self.input(input),
+                event = event_receiver.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                () = tokio::time::sleep_until(self.clock.instant(next)) => {}
+                () = tokio::time::sleep_until(self.clock.to_instant(next_timer_at)) => {}
             }
         }
     }
 
-    fn input(&mut self, input: NodeEvent) {
-        match input {
-            NodeEvent::Request(asked) => self.asked(*asked),
+    fn handle_event(&mut self, event: NodeEvent) {
+        match event {
+            NodeEvent::Request(client_request) => self.handle_request(*client_request),
             NodeEvent::ClientDisconnected(client) => {
-                self.client_gone(client);
-                self.run_events();
+                self.finish_client_requests(client);
+                self.process_queued_events();
             }
-            NodeEvent::Connection(conn, news) => self.conn(conn, news),
-            NodeEvent::Discovery(call, news) => self.discovery_news(call, news),
+            NodeEvent::Connection(conn_id, conn_event) => self.handle_connection_event(conn_id, conn_event),
+            NodeEvent::Discovery(call_id, call_event) => self.handle_discovery_event(call_id, call_event),
             NodeEvent::SlotsLow => self.pool.close_oldest_idle(),
             NodeEvent::Reload(config) => self.reload(&config),
-            NodeEvent::Terminate if self.ends_at.is_none() => {
+            NodeEvent::Terminate if self.drain_deadline.is_none() => {
                 let now = self.clock.now();
-                let longest = self.deployment.settings.classes.iter().map(|c| c.deadline).max();
-                self.ends_at = Some(now + longest.unwrap_or(0) + DRAIN_SLACK);
-                self.timers.push(Reverse((now + ACCEPT_ON, NodeTimer::Drain)));
-                self.timers.push(Reverse((now + ACCEPT_ON + 20_000, NodeTimer::Ended)));
+                let longest_deadline = self.deployment.settings.classes.iter().map(|c| c.deadline).max();
+                self.drain_deadline = Some(now + longest_deadline.unwrap_or(0) + DRAIN_MARGIN_US);
+                self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US, NodeTimer::BeginDrain)));
+                self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US + 20_000, NodeTimer::DrainCheck)));
             }
             NodeEvent::Terminate => {}
         }
@@ -251,69 +255,69 @@
         if config.discovery != self.discovery.address() {
             self.discovery.move_to(config.discovery);
             match self.deployment.settings.pull_discovery {
-                true => self.tell(Event::DiscoveryMoved),
+                true => self.dispatch_event(Event::DiscoveryMoved),
                 false => self.discovery.watch_pushed_lists(),
             }
         }
         log(&format!("reload: discovery is at {}", config.discovery));
     }
 
-    fn due(&mut self, due: NodeTimer, now: Micros) {
-        match due {
-            NodeTimer::Policy(token) => self.tell(Event::Timer(token)),
-            NodeTimer::Attempt(id, number) => {
-                self.give_up((id, number), Status::TimedOut);
-                self.run_events();
+    fn handle_timer(&mut self, timer: NodeTimer, now: Micros) {
+        match timer {
+            NodeTimer::Policy(token) => self.dispatch_event(Event::Timer(token)),
+            NodeTimer::AttemptTimeout(id, attempt_number) => {
+                self.abandon_attempt((id, attempt_number), Status::TimedOut);
+                self.process_queued_events();
             }
-            NodeTimer::Deadline(id) => {
+            NodeTimer::RequestDeadline(id) => {
                 // The module ends a request before this. Should it not, the client still gets its answer.
-                if self.open.get(&id).is_some_and(|open| !open.over) {
-                    self.answer(id, Bytes::from_static(b"-ERR failed\r\n"));
-                    self.tell(Event::ClientGone(id));
+                if self.open_requests.get(&id).is_some_and(|open_request| !open_request.finished) {
+                    self.send_answer(id, Bytes::from_static(b"-ERR failed\r\n"));
+                    self.dispatch_event(Event::ClientGone(id));
                 }
             }
-            NodeTimer::Sweep => {
+            NodeTimer::IdleSweep => {
                 self.pool.close_expired_idle(now);
-                self.timers.push(Reverse((now + SWEEP, NodeTimer::Sweep)));
+                self.timers.push(Reverse((now + IDLE_SWEEP_INTERVAL_US, NodeTimer::IdleSweep)));
             }
-            NodeTimer::Drain | NodeTimer::Ended => {}
+            NodeTimer::BeginDrain | NodeTimer::DrainCheck => {}
         }
     }
 
     // The module.
 
     /// Tells the module of an event, does what it says, and goes on with what follows from that.
-    fn tell(&mut self, event: Event) {
+    fn dispatch_event(&mut self, event: Event) {
         self.events.push_back(event);
-        self.run_events();
+        self.process_queued_events();
     }
 
-    fn run_events(&mut self) {
+    fn process_queued_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.policy.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform_action(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform_action(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, timeout: give_up_after } => {
-                self.send(request, server, give_up_after)
-            }
+            Action::Send { request, server, timeout } => self.start_attempt(request, server, timeout),
             Action::Refuse { request, retry_after } => {
                 let answer = match retry_after {
                     0 => Bytes::from_static(b"-BUSY\r\n"),
-                    after => format!("-BUSY {}\r\n", after.div_ceil(1_000)).into(),
+                    delay_us => format!("-BUSY {}\r\n", delay_us.div_ceil(1_000)).into(),
                 };
-                self.answer(request, answer);
+                self.send_answer(request, answer);
+            }
+            Action::Fail(request) => self.send_answer(request, Bytes::from_static(b"-ERR failed\r\n")),
+            Action::Cancel { request, attempt } => {
+                self.abandon_attempt((request, attempt), Status::Cancelled)
             }
-            Action::Fail(request) => self.answer(request, Bytes::from_static(b"-ERR failed\r\n")),
-            Action::Cancel { request, attempt } => self.give_up((request, attempt), Status::Cancelled),
-            Action::Timer { delay: after, token } => {
-                self.timers.push(Reverse((self.clock.now() + after.max(1), NodeTimer::Policy(token))));
+            Action::Timer { delay, token } => {
+                self.timers.push(Reverse((self.clock.now() + delay.max(1), NodeTimer::Policy(token))));
             }
             Action::Subscribe(on) => self.discovery.subscribe(on),
             Action::FetchList => self.discovery.fetch(),
@@ -322,8 +326,8 @@
             Action::Fault(line) => log(&format!("fault: {line}")),
             // This module neither probes nor speaks to peers; the sockets for it are not built.
             Action::Probe(server) => {
-                let (took, load) = (0, LoadReport::default());
-                self.events.push_back(Event::Probed { server, healthy: false, elapsed: took, load });
+                let (elapsed, load) = (0, LoadReport::default());
+                self.events.push_back(Event::Probed { server, healthy: false, elapsed, load });
             }
             Action::Tell { .. } => {}
         }
@@ -331,13 +335,13 @@
 
     // Requests.
 
-    fn asked(&mut self, asked: ClientRequest) {
+    fn handle_request(&mut self, client_request: ClientRequest) {
         let ClientRequest { command, received_at, client, liveness, reply_index, reply_sender, reservation } =
-            asked;
-        let id = self.next;
-        self.next += 1;
+            client_request;
+        let id = self.next_request_id;
+        self.next_request_id += 1;
         // What the request waited within the node is part of its time.
-        let ends = received_at + command.time_left;
+        let deadline = received_at + command.time_left;
         let request = Request {
             id,
             class: command.class,
@@ -345,227 +349,252 @@
             key: command.hashed_key(),
             write: command.write,
             client_retry: command.client_retry,
-            time_left: ends.saturating_sub(self.clock.now()),
+            time_left: deadline.saturating_sub(self.clock.now()),
             expected_work: command.expected_work,
             value_bytes: command.value_bytes,
         };
         let reservation = Some(reservation);
-        let (sent, out, over) = (0, 0, false);
-        let open = OpenRequest {
+        let (attempts_sent, attempts_in_flight, finished) = (0, 0, false);
+        let open_request = OpenRequest {
             command,
             client,
             liveness,
             reply_index,
             reply_sender,
             reservation,
-            ends,
-            sent,
-            out,
-            over,
+            deadline,
+            attempts_sent,
+            attempts_in_flight,
+            finished,
         };
-        self.open.insert(id, open);
-        self.timers.push(Reverse((ends, NodeTimer::Deadline(id))));
-        self.tell(Event::Request(request));
+        self.open_requests.insert(id, open_request);
+        self.timers.push(Reverse((deadline, NodeTimer::RequestDeadline(id))));
+        self.dispatch_event(Event::Request(request));
     }
 
     /// Gives the final answer, the first only.
-    fn answer(&mut self, id: RequestId, answer: Bytes) {
-        let Some(open) = self.open.get(&id).filter(|open| !open.over) else { return };
+    fn send_answer(&mut self, id: RequestId, answer: Bytes) {
+        let Some(open_request) = self.open_requests.get(&id).filter(|open_request| !open_request.finished)
+        else {
+            return;
+        };
         // Forced by memory: an answer that there is no room for is not passed on, and tells as much.
         let (bytes, reservation) = match self.memory.try_reserve(answer.len()) {
             Some(reservation) => (answer, Some(reservation)),
             None => (Bytes::from_static(b"-ERR failed\r\n"), None),
         };
         // There is room for every answer that a connection is owed; one that has ended takes none.
-        let _ = open.reply_sender.try_send(ClientReply { reply_index: open.reply_index, bytes, reservation });
-        self.close_request(id);
+        let _ = open_request.reply_sender.try_send(ClientReply {
+            reply_index: open_request.reply_index,
+            bytes,
+            reservation,
+        });
+        self.finish_request(id);
     }
 
     /// Nothing is owed to a client any more.
-    fn client_gone(&mut self, client: ClientId) {
-        let mine =
-            |(id, open): (&RequestId, &OpenRequest)| (open.client == client && !open.over).then_some(*id);
-        let gone: Vec<_> = self.open.iter().filter_map(mine).collect();
-        for id in gone {
-            self.close_request(id);
+    fn finish_client_requests(&mut self, client: ClientId) {
+        let unfinished_id = |(id, open_request): (&RequestId, &OpenRequest)| {
+            (open_request.client == client && !open_request.finished).then_some(*id)
+        };
+        let ids: Vec<_> = self.open_requests.iter().filter_map(unfinished_id).collect();
+        for id in ids {
+            self.finish_request(id);
             self.events.push_back(Event::ClientGone(id));
         }
     }
 
     /// Nothing is owed for a request any more. Attempts that are out keep its entry until they end.
-    fn close_request(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        open.over = true;
-        (open.command.value, open.reservation) = (None, None);
-        if open.out == 0 {
-            self.open.remove(&id);
+    fn finish_request(&mut self, id: RequestId) {
+        let Some(open_request) = self.open_requests.get_mut(&id) else { return };
+        open_request.finished = true;
+        (open_request.command.value, open_request.reservation) = (None, None);
+        if open_request.attempts_in_flight == 0 {
+            self.open_requests.remove(&id);
         }
     }
 
     // Attempts.
 
-    fn send(&mut self, id: RequestId, server: ServerId, give_up_after: Micros) {
+    fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
         let now = self.clock.now();
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let key = (id, open.sent);
-        (open.sent, open.out) = (open.sent + 1, open.out + 1);
-        let allowed =
-            !open.over && u32::from(key.1) < self.deployment.settings.max_attempts && now < open.ends;
-        let limit = if give_up_after == 0 { open.ends } else { open.ends.min(now + give_up_after) };
-        let target = self.servers.get(server).filter(|_| allowed);
+        let Some(open_request) = self.open_requests.get_mut(&id) else { return };
+        let attempt_id = (id, open_request.attempts_sent);
+        (open_request.attempts_sent, open_request.attempts_in_flight) =
+            (open_request.attempts_sent + 1, open_request.attempts_in_flight + 1);
+        let may_send = !open_request.finished
+            && u32::from(attempt_id.1) < self.deployment.settings.max_attempts
+            && now < open_request.deadline;
+        let timeout_at =
+            if timeout == 0 { open_request.deadline } else { open_request.deadline.min(now + timeout) };
+        let target = self.servers.get(server).filter(|_| may_send);
         let Some((address, protocol)) = target.map(|s| (s.address, s.protocol)) else {
-            self.attempts.insert(key, Attempt { server, sent: now, conn: 0 });
-            return self.end(key, Status::NotSent);
+            self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
+            return self.end_attempt(attempt_id, Status::NotSent);
         };
-        let conn = match self.pool.reuse(server, key, now) {
-            Some(conn) => Some((conn, true)),
+        let connection = match self.pool.reuse(server, attempt_id, now) {
+            Some(conn_id) => Some((conn_id, true)),
             // A connection costs its server work: none is opened for a client that has gone.
-            None if open.liveness.disconnected() => {
-                let client = open.client;
-                self.attempts.insert(key, Attempt { server, sent: now, conn: 0 });
-                return self.unsent(key, client);
+            None if open_request.liveness.disconnected() => {
+                let client = open_request.client;
+                self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
+                return self.abort_unsent_attempt(attempt_id, client);
             }
-            None => self.pool.connect(server, address, protocol, key).map(|conn| (conn, false)),
+            None => self.pool.connect(server, address, protocol, attempt_id).map(|conn_id| (conn_id, false)),
         };
-        let Some((conn, up)) = conn else {
+        let Some((conn_id, already_connected)) = connection else {
             // Forced by the limit on sockets: there is no connection to send this on.
-            self.attempts.insert(key, Attempt { server, sent: now, conn: 0 });
-            return self.end(key, Status::NotSent);
+            self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
+            return self.end_attempt(attempt_id, Status::NotSent);
         };
-        self.attempts.insert(key, Attempt { server, sent: now, conn });
-        self.timers.push(Reverse((limit, NodeTimer::Attempt(id, key.1))));
-        if up {
-            self.write(key, conn);
+        self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id });
+        self.timers.push(Reverse((timeout_at, NodeTimer::AttemptTimeout(id, attempt_id.1))));
+        if already_connected {
+            self.write_attempt(attempt_id, conn_id);
         }
     }
 
     /// Hands an attempt to its connection, which is up.
-    fn write(&mut self, key: AttemptId, conn: ConnId) {
+    fn write_attempt(&mut self, attempt_id: AttemptId, conn_id: ConnId) {
         let now = self.clock.now();
-        let Some(attempt) = self.attempts.get(&key) else { return };
+        let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // Against a send after a drain or an end: between the module's word and the first byte the attempt
         // waited for its connection, and meanwhile its server may have left or its client gone.
         let server = self.servers.ready(attempt.server);
-        let open = self.open.get(&key.0).filter(|open| !open.over && now < open.ends);
-        let (Some(server), Some(open)) = (server, open) else {
+        let open_request = self
+            .open_requests
+            .get(&attempt_id.0)
+            .filter(|open_request| !open_request.finished && now < open_request.deadline);
+        let (Some(server), Some(open_request)) = (server, open_request) else {
             if server.is_none()
-                && let Some(open) = open
+                && let Some(open_request) = open_request
             {
-                let id = String::from_utf8_lossy(&open.command.id);
-                log(&format!("request {id}: attempt {} not written, its server takes no new work", key.1));
+                let id = String::from_utf8_lossy(&open_request.command.id);
+                log(&format!(
+                    "request {id}: attempt {} not written, its server takes no new work",
+                    attempt_id.1
+                ));
             }
             let address = self.servers.get(attempt.server).map(|s| s.address);
-            self.pool.release(conn, address, now);
-            return self.end(key, Status::NotSent);
+            self.pool.release(conn_id, address, now);
+            return self.end_attempt(attempt_id, Status::NotSent);
         };
         // While the connection came up its server may have been listed at another address.
-        if self.pool.address(conn) != Some(server.address) {
-            if !self.connect_again(key, conn) {
-                self.end(key, Status::ConnectFailed);
+        if self.pool.address(conn_id) != Some(server.address) {
+            if !self.reconnect(attempt_id, conn_id) {
+                self.end_attempt(attempt_id, Status::ConnectFailed);
             }
             return;
         }
-        let left_ms = (open.ends - now).div_ceil(1_000);
+        let time_left_ms = (open_request.deadline - now).div_ceil(1_000);
         let bytes = match server.protocol {
-            Protocol::Resp => cache_protocol::encode(&open.command, left_ms),
-            Protocol::Http => origin_protocol::encode(&open.command, left_ms, &server.address.to_string()),
+            Protocol::Resp => cache_protocol::encode(&open_request.command, time_left_ms),
+            Protocol::Http => {
+                origin_protocol::encode(&open_request.command, time_left_ms, &server.address.to_string())
+            }
         };
-        if !self.pool.send_request(conn, bytes, open.liveness.clone()) {
-            self.lost(key, conn, false);
+        if !self.pool.send_request(conn_id, bytes, open_request.liveness.clone()) {
+            self.handle_connection_loss(attempt_id, conn_id, false);
         }
     }
 
-    fn conn(&mut self, conn: ConnId, news: ConnEvent) {
+    fn handle_connection_event(&mut self, conn_id: ConnId, event: ConnEvent) {
         // What comes from a connection that was given up is late, and of no more interest.
-        let key = self.pool.attempt(conn);
-        match (news, key) {
-            (ConnEvent::Connected, Some(key)) => self.write(key, conn),
-            (ConnEvent::NotSent, Some(key)) => {
-                let server = self.attempts.get(&key).and_then(|attempt| self.servers.get(attempt.server));
-                self.pool.release(conn, server.map(|s| s.address), self.clock.now());
-                if let Some(client) = self.open.get(&key.0).map(|open| open.client) {
-                    self.unsent(key, client);
+        let attempt_id = self.pool.attempt(conn_id);
+        match (event, attempt_id) {
+            (ConnEvent::Connected, Some(attempt_id)) => self.write_attempt(attempt_id, conn_id),
+            (ConnEvent::NotSent, Some(attempt_id)) => {
+                let server =
+                    self.attempts.get(&attempt_id).and_then(|attempt| self.servers.get(attempt.server));
+                self.pool.release(conn_id, server.map(|s| s.address), self.clock.now());
+                if let Some(client) =
+                    self.open_requests.get(&attempt_id.0).map(|open_request| open_request.client)
+                {
+                    self.abort_unsent_attempt(attempt_id, client);
                 }
             }
-            (ConnEvent::Reply(reply), Some(key)) => {
+            (ConnEvent::Reply(reply), Some(attempt_id)) => {
                 let now = self.clock.now();
-                self.heard_from_server_of(key);
-                let attempt = self.attempts.get(&key);
+                self.record_server_answer(attempt_id);
+                let attempt = self.attempts.get(&attempt_id);
                 let address = attempt.and_then(|attempt| Some(self.servers.get(attempt.server)?.address));
                 match reply.keep_alive {
-                    true => self.pool.release(conn, address, now),
-                    false => self.pool.close(conn),
+                    true => self.pool.release(conn_id, address, now),
+                    false => self.pool.close(conn_id),
                 }
-                self.end_with(key, reply);
+                self.end_attempt_with_reply(attempt_id, reply);
+            }
+            (ConnEvent::Malformed, Some(attempt_id)) => {
+                self.record_server_answer(attempt_id);
+                self.pool.close(conn_id);
+                self.end_attempt(attempt_id, Status::Malformed);
             }
-            (ConnEvent::Malformed, Some(key)) => {
-                self.heard_from_server_of(key);
-                self.pool.close(conn);
-                self.end(key, Status::Malformed);
+            (ConnEvent::Failed { written }, Some(attempt_id)) => {
+                self.handle_connection_loss(attempt_id, conn_id, written)
             }
-            (ConnEvent::Failed { written }, Some(key)) => self.lost(key, conn, written),
-            (ConnEvent::Failed { .. } | ConnEvent::Malformed, None) => self.pool.close(conn),
+            (ConnEvent::Failed { .. } | ConnEvent::Malformed, None) => self.pool.close(conn_id),
             (_, None) => {}
         }
-        self.run_events();
+        self.process_queued_events();
     }
 
     /// The server of an attempt has answered something.
-    fn heard_from_server_of(&mut self, key: AttemptId) {
-        if let Some(attempt) = self.attempts.get(&key) {
+    fn record_server_answer(&mut self, attempt_id: AttemptId) {
+        if let Some(attempt) = self.attempts.get(&attempt_id) {
             self.servers.record_answer(attempt.server, self.clock.now());
         }
     }
 
     /// An attempt was not sent since its client has gone.
-    fn unsent(&mut self, key: AttemptId, client: ClientId) {
-        self.close_request(key.0);
-        self.end(key, Status::NotSent);
-        self.client_gone(client);
+    fn abort_unsent_attempt(&mut self, attempt_id: AttemptId, client: ClientId) {
+        self.finish_request(attempt_id.0);
+        self.end_attempt(attempt_id, Status::NotSent);
+        self.finish_client_requests(client);
     }
 
     /// A connection is lost that an attempt was on or waited for.
-    fn lost(&mut self, key: AttemptId, conn: ConnId, written: bool) {
-        let stale = !written && self.pool.request_count(conn) > 1;
+    fn handle_connection_loss(&mut self, attempt_id: AttemptId, conn_id: ConnId, written: bool) {
+        let reused_unwritten = !written && self.pool.request_count(conn_id) > 1;
         if written {
-            self.pool.close(conn);
-            return self.end(key, Status::Reset);
+            self.pool.close(conn_id);
+            return self.end_attempt(attempt_id, Status::Reset);
         }
         // A kept connection that had ended unseen: the last byte was not written, so nothing was sent, and
         // the same attempt may have a fresh connection. Only once: a fresh one has carried nothing.
-        if !(stale && self.connect_again(key, conn)) {
-            self.pool.close(conn);
-            self.end(key, Status::ConnectFailed);
+        if !(reused_unwritten && self.reconnect(attempt_id, conn_id)) {
+            self.pool.close(conn_id);
+            self.end_attempt(attempt_id, Status::ConnectFailed);
         }
     }
 
     /// Opens a fresh connection in place of one on which nothing was sent; `false` where there is none to be had.
-    fn connect_again(&mut self, key: AttemptId, conn: ConnId) -> bool {
-        self.pool.close(conn);
-        let Some(attempt) = self.attempts.get_mut(&key) else { return false };
+    fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
+        self.pool.close(conn_id);
+        let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return false };
         let Some(server) = self.servers.get(attempt.server) else { return false };
-        let Some(conn) = self.pool.connect(attempt.server, server.address, server.protocol, key) else {
+        let Some(conn_id) = self.pool.connect(attempt.server, server.address, server.protocol, attempt_id)
+        else {
             return false;
         };
-        attempt.conn = conn;
+        attempt.conn_id = conn_id;
         true
     }
 
     /// Stops waiting for an attempt, by closing its connection.
-    fn give_up(&mut self, key: AttemptId, status: Status) {
-        let Some(attempt) = self.attempts.get(&key) else { return };
-        self.pool.close(attempt.conn);
+    fn abandon_attempt(&mut self, attempt_id: AttemptId, status: Status) {
+        let Some(attempt) = self.attempts.get(&attempt_id) else { return };
+        self.pool.close(attempt.conn_id);
         // Against a machine that vanished: its kept connections stay open and silent, and each would cost
         // a request its whole time. A fresh one tells within the time-out of a connect.
-        if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent) {
+        if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
             self.pool.close_idle(attempt.server);
         }
-        self.end(key, status);
+        self.end_attempt(attempt_id, status);
     }
 
-    fn end(&mut self, key: AttemptId, status: Status) {
-        self.end_with(
-            key,
+    fn end_attempt(&mut self, attempt_id: AttemptId, status: Status) {
+        self.end_attempt_with_reply(
+            attempt_id,
             ServerReply {
                 status,
                 lookup: CacheLookup::NotReported,
@@ -577,27 +606,27 @@
     }
 
     /// An attempt has its outcome: the first that serves answers the client, and the module is told.
-    fn end_with(&mut self, key: AttemptId, reply: ServerReply) {
-        let Some(attempt) = self.attempts.remove(&key) else { return };
-        let Some(open) = self.open.get_mut(&key.0) else { return };
-        open.out -= 1;
-        let over = open.over || reply.status == Status::Success;
+    fn end_attempt_with_reply(&mut self, attempt_id: AttemptId, reply: ServerReply) {
+        let Some(attempt) = self.attempts.remove(&attempt_id) else { return };
+        let Some(open_request) = self.open_requests.get_mut(&attempt_id.0) else { return };
+        open_request.attempts_in_flight -= 1;
+        let finished = open_request.finished || reply.status == Status::Success;
         if let Some(value) = &reply.value {
             let mut answer = BytesMut::with_capacity(value.len() + 16);
             resp::put_bulk(&mut answer, value);
-            self.answer(key.0, answer.freeze());
+            self.send_answer(attempt_id.0, answer.freeze());
         }
-        if over {
-            self.close_request(key.0);
+        if finished {
+            self.finish_request(attempt_id.0);
         }
         self.events.push_back(Event::Outcome(Outcome {
-            request: key.0,
-            attempt: key.1,
+            request: attempt_id.0,
+            attempt: attempt_id.1,
             server: attempt.server,
             status: reply.status,
-            request_finished: over,
+            request_finished: finished,
             lookup: reply.lookup,
-            elapsed: self.clock.now() - attempt.sent,
+            elapsed: self.clock.now() - attempt.sent_at,
             load: reply.load,
         }));
     }
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -7,7 +7,7 @@
 pub struct MalformedResponse;
 
 /// The longest head, and the longest line that states a chunk's size.
-const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 48;
 
 /// The head of an answer.
@@ -37,7 +37,7 @@
     let mut response = httparse::Response::new(&mut headers);
     let length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(MalformedResponse),
     };
     let status = response.code.unwrap_or(0);
@@ -50,7 +50,7 @@
                 // Against lengths that two readers would read differently: signs, and two that differ.
                 let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
                 let length = value.parse().ok().filter(|_| digits).ok_or(MalformedResponse)?;
-                if head.content_length.is_some_and(|before| before != length) {
+                if head.content_length.is_some_and(|earlier| earlier != length) {
                     return Err(MalformedResponse);
                 }
                 head.content_length = Some(length);
@@ -75,44 +75,44 @@
 /// Takes chunks apart as they come.
 #[derive(Default)]
 pub struct ChunkedDecoder {
-    left: usize,
+    chunk_remaining: usize,
     /// The line end after a chunk's content is still to come.
-    line_end: bool,
-    ended: bool,
+    chunk_end_pending: bool,
+    finished: bool,
 }
 
 impl ChunkedDecoder {
     /// Moves what is there of the body's content from one buffer to the other; `true` at the body's end.
-    pub fn decode(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, MalformedResponse> {
-        while !self.ended {
-            if self.left > 0 {
-                let part = self.left.min(from.len());
-                to.extend_from_slice(&from[..part]);
-                from.advance(part);
-                self.left -= part;
-                self.line_end = self.left == 0;
-                if self.left > 0 {
+    pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, MalformedResponse> {
+        while !self.finished {
+            if self.chunk_remaining > 0 {
+                let part = self.chunk_remaining.min(input.len());
+                output.extend_from_slice(&input[..part]);
+                input.advance(part);
+                self.chunk_remaining -= part;
+                self.chunk_end_pending = self.chunk_remaining == 0;
+                if self.chunk_remaining > 0 {
                     return Ok(false);
                 }
             }
-            if self.line_end {
-                if from.len() < 2 {
+            if self.chunk_end_pending {
+                if input.len() < 2 {
                     return Ok(false);
                 }
-                if !from.starts_with(b"\r\n") {
+                if !input.starts_with(b"\r\n") {
                     return Err(MalformedResponse);
                 }
-                from.advance(2);
-                self.line_end = false;
+                input.advance(2);
+                self.chunk_end_pending = false;
             }
-            match httparse::parse_chunk_size(from) {
+            match httparse::parse_chunk_size(input) {
                 Ok(httparse::Status::Complete((length, size))) => {
-                    from.advance(length);
-                    self.left = usize::try_from(size).map_err(|_| MalformedResponse)?;
+                    input.advance(length);
+                    self.chunk_remaining = usize::try_from(size).map_err(|_| MalformedResponse)?;
                     // Trailers are not read: what follows the last chunk ends the use of the connection.
-                    self.ended = size == 0;
+                    self.finished = size == 0;
                 }
-                Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => return Ok(false),
+                Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(false),
                 _ => return Err(MalformedResponse),
             }
         }
@@ -125,17 +125,17 @@
     use super::*;
 
     #[test]
-    fn chunks_are_joined_however_they_are_cut() {
+    fn chunks_are_decoded_however_the_input_is_split() {
         let whole = b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\n";
-        for step in 1..whole.len() {
-            let (mut chunks, mut from, mut to) =
+        for part_size in 1..whole.len() {
+            let (mut chunks, mut input, mut output) =
                 (ChunkedDecoder::default(), BytesMut::new(), BytesMut::new());
-            let mut ended = false;
-            for part in whole.chunks(step) {
-                from.extend_from_slice(part);
-                ended = chunks.decode(&mut from, &mut to).unwrap();
+            let mut finished = false;
+            for part in whole.chunks(part_size) {
+                input.extend_from_slice(part);
+                finished = chunks.decode(&mut input, &mut output).unwrap();
             }
-            assert!(ended && &to[..] == b"hello!", "in steps of {step}: {to:?}");
+            assert!(finished && &output[..] == b"hello!", "in steps of {part_size}: {output:?}");
         }
         let mut bad = BytesMut::from("zz\r\n");
         assert_eq!(ChunkedDecoder::default().decode(&mut bad, &mut BytesMut::new()), Err(MalformedResponse));
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -35,7 +35,7 @@
 /// What waits between the connections and the node's loop.
 const EVENT_QUEUE_LENGTH: usize = 1024;
 /// Requests taken and not yet answered.
-const MAX_OPEN: usize = 1024;
+const MAX_OPEN_REQUESTS: usize = 1024;
 
 /// Writes a line to the log; a log that can't be written to is no reason to stop.
 pub fn log(line: &str) {
@@ -44,10 +44,10 @@
 
 async fn run(config: NodeConfig) -> std::io::Result<()> {
     let (event_sender, event_receiver) = mpsc::channel(EVENT_QUEUE_LENGTH);
-    let (phase_set, phase) = watch::channel(Phase::Starting);
+    let (phase_sender, phase) = watch::channel(Phase::Starting);
     let clock = Clock::start();
     let connection_slots = ConnectionSlots::new(config.sockets);
-    let mut terms = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
+    let mut terminate_signals = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
     let hangup = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
     log(&format!("listening on {}", listener.local_addr()?));
@@ -59,7 +59,7 @@
         settings.notified_after / 1_000,
         settings.drain_grace_time / 1_000,
     ));
-    let request_permits = Arc::new(Semaphore::new(deployment.max_open_requests.min(MAX_OPEN)));
+    let request_permits = Arc::new(Semaphore::new(deployment.max_open_requests.min(MAX_OPEN_REQUESTS)));
     let memory = MemoryBudget::new(config.memory_mb);
     let context = SessionContext {
         deployment: deployment.clone(),
@@ -73,17 +73,17 @@
     };
     connection_slots.set_accepting(true);
     tokio::spawn(client_sessions::listen(listener, Arc::new(context)));
-    let signals = event_sender.clone();
+    let signal_event_sender = event_sender.clone();
     tokio::spawn(async move {
-        let [term, int] = &mut terms;
-        tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-        let _ = signals.send(NodeEvent::Terminate).await;
+        let [terminate, interrupt] = &mut terminate_signals;
+        tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
+        let _ = signal_event_sender.send(NodeEvent::Terminate).await;
     });
     tokio::spawn(reload::reload_on_sighup(hangup, event_sender.clone()));
-    let clients = connection_slots.clone();
-    let idle = move || clients.no_clients();
+    let slots = connection_slots.clone();
+    let no_clients_connected = move || slots.no_clients();
     Node::new(config, deployment, clock, event_sender, connection_slots, memory)
-        .run(event_receiver, phase_set, idle)
+        .run(event_receiver, phase_sender, no_clients_connected)
         .await;
     Ok(())
 }
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -6,11 +6,11 @@
 /// The longest value that clients send.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Words in a command, and elements in an answer, at most.
-const MAX_WORDS: usize = 16;
+const MAX_ELEMENTS: usize = 16;
 /// The longest line that states a length.
-const MAX_LENGTH_LINE: usize = 24;
+const MAX_LENGTH_LINE_BYTES: usize = 24;
 /// The longest plain or error line of an answer.
-const MAX_LINE: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
 /// How deep arrays of an answer may be nested.
 const MAX_DEPTH: u8 = 3;
 
@@ -18,8 +18,8 @@
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct ProtocolError(pub &'static str);
 
-const UNENDED: ProtocolError = ProtocolError("bulk string not ended");
-const NULL: ProtocolError = ProtocolError("null in a command");
+const UNTERMINATED_BULK: ProtocolError = ProtocolError("bulk string not ended");
+const NULL_IN_COMMAND: ProtocolError = ProtocolError("null in a command");
 
 /// An answer of a cache server.
 #[derive(Debug, PartialEq, Clone)]
@@ -38,57 +38,61 @@
 
 /// Takes one whole command, an array of bulk strings, off the front; `None` while it is not all there.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ProtocolError> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest: MAX_VALUE_BYTES };
-    let Some(words) = scan.command()? else { return Ok(None) };
-    let end = scan.at;
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: MAX_VALUE_BYTES };
+    let Some(arguments) = parser.read_command()? else { return Ok(None) };
+    let end = parser.position;
     // Each word is a copy of its own: together they would hold the whole buffer for as long as one lives.
-    let whole = buffer.split_to(end);
-    Ok(Some(words.into_iter().map(|(from, to)| Bytes::copy_from_slice(&whole[from..to])).collect()))
+    let command = buffer.split_to(end);
+    Ok(Some(arguments.into_iter().map(|(from, to)| Bytes::copy_from_slice(&command[from..to])).collect()))
 }
 
 /// Takes one whole answer off the front, no string in it longer than a limit; `None` while it is not all there.
-pub fn take_value(buffer: &mut BytesMut, longest: usize) -> Result<Option<Value>, ProtocolError> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest };
-    let Some(value) = scan.value(0)? else { return Ok(None) };
-    let end = scan.at;
+pub fn take_value(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Value>, ProtocolError> {
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes };
+    let Some(value) = parser.read_value(0)? else { return Ok(None) };
+    let end = parser.position;
     let _ = buffer.split_to(end);
     Ok(Some(value))
 }
 
 /// The length that an answer states for its value, once it has.
 pub fn declared_length(buffer: &[u8]) -> Option<usize> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest: usize::MAX };
-    scan.length(b'*', MAX_WORDS).ok()??;
-    scan.length(b'$', usize::MAX).ok()??
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: usize::MAX };
+    parser.read_length(b'*', MAX_ELEMENTS).ok()??;
+    parser.read_length(b'$', usize::MAX).ok()??
 }
 
-struct Scan<'a> {
-    bytes: &'a [u8],
-    at: usize,
-    longest: usize,
+struct Parser<'a> {
+    input: &'a [u8],
+    position: usize,
+    max_bulk_bytes: usize,
 }
 
-impl<'a> Scan<'a> {
-    fn line(&mut self, longest: usize) -> Result<Option<&'a [u8]>, ProtocolError> {
-        let rest = &self.bytes[self.at..];
-        match rest.windows(2).take(longest + 1).position(|pair| pair == b"\r\n") {
+impl<'a> Parser<'a> {
+    fn read_line(&mut self, max_bytes: usize) -> Result<Option<&'a [u8]>, ProtocolError> {
+        let rest = &self.input[self.position..];
+        match rest.windows(2).take(max_bytes + 1).position(|pair| pair == b"\r\n") {
             Some(end) => {
-                self.at += end + 2;
+                self.position += end + 2;
                 Ok(Some(&rest[..end]))
             }
-            None if rest.len() > longest + 1 => Err(ProtocolError("line too long")),
+            None if rest.len() > max_bytes + 1 => Err(ProtocolError("line too long")),
             None => Ok(None),
         }
     }
 
     /// A line of a mark and a length; `None` inside stands for a null.
-    fn length(&mut self, mark: u8, most: usize) -> Result<Option<Option<usize>>, ProtocolError> {
-        match self.bytes.get(self.at) {
+    fn read_length(
+        &mut self,
+        type_byte: u8,
+        max_length: usize,
+    ) -> Result<Option<Option<usize>>, ProtocolError> {
+        match self.input.get(self.position) {
             None => return Ok(None),
-            Some(found) if *found != mark => return Err(ProtocolError("unexpected type")),
+            Some(found) if *found != type_byte => return Err(ProtocolError("unexpected type")),
             Some(_) => {}
         }
-        let Some(line) = self.line(MAX_LENGTH_LINE)? else { return Ok(None) };
+        let Some(line) = self.read_line(MAX_LENGTH_LINE_BYTES)? else { return Ok(None) };
         if &line[1..] == b"-1" {
             return Ok(Some(None));
         }
@@ -96,57 +100,61 @@
         let number =
             std::str::from_utf8(&line[1..]).ok().filter(|_| digits).and_then(|text| text.parse().ok());
         let number: usize = number.ok_or(ProtocolError("invalid length"))?;
-        if number > most { Err(ProtocolError("value or command too long")) } else { Ok(Some(Some(number))) }
+        if number > max_length {
+            Err(ProtocolError("value or command too long"))
+        } else {
+            Ok(Some(Some(number)))
+        }
     }
 
     /// Bounds of the content of a bulk string.
-    fn bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
-        let length = match self.length(b'$', self.longest)? {
+    fn read_bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
+        let length = match self.read_length(b'$', self.max_bulk_bytes)? {
             None => return Ok(None),
             Some(None) => return Ok(Some(None)),
             Some(Some(length)) => length,
         };
-        let (from, to) = (self.at, self.at + length);
-        let Some(end) = self.bytes.get(to..to + 2) else { return Ok(None) };
+        let (from, to) = (self.position, self.position + length);
+        let Some(end) = self.input.get(to..to + 2) else { return Ok(None) };
         if end != b"\r\n" {
-            return Err(UNENDED);
+            return Err(UNTERMINATED_BULK);
         }
-        self.at = to + 2;
+        self.position = to + 2;
         Ok(Some(Some((from, to))))
     }
 
     /// How many words a command has.
-    fn count(&mut self) -> Result<Option<usize>, ProtocolError> {
-        match self.length(b'*', MAX_WORDS)? {
+    fn read_argument_count(&mut self) -> Result<Option<usize>, ProtocolError> {
+        match self.read_length(b'*', MAX_ELEMENTS)? {
             // Against floods of commands that say nothing and are cheap to send.
             Some(None | Some(0)) => Err(ProtocolError("empty command")),
             count => Ok(count.flatten()),
         }
     }
 
-    fn command(&mut self) -> Result<Option<Vec<(usize, usize)>>, ProtocolError> {
-        let Some(count) = self.count()? else { return Ok(None) };
-        let mut words = Vec::with_capacity(count);
+    fn read_command(&mut self) -> Result<Option<Vec<(usize, usize)>>, ProtocolError> {
+        let Some(count) = self.read_argument_count()? else { return Ok(None) };
+        let mut arguments = Vec::with_capacity(count);
         for _ in 0..count {
-            match self.bulk()? {
+            match self.read_bulk()? {
                 None => return Ok(None),
-                Some(word) => words.push(word.ok_or(NULL)?),
+                Some(argument) => arguments.push(argument.ok_or(NULL_IN_COMMAND)?),
             }
         }
-        Ok(Some(words))
+        Ok(Some(arguments))
     }
 
-    fn value(&mut self, depth: u8) -> Result<Option<Value>, ProtocolError> {
-        let Some(mark) = self.bytes.get(self.at) else { return Ok(None) };
-        match mark {
-            b'$' => Ok(self.bulk()?.map(|bounds| {
-                Value::Bulk(bounds.map(|(from, to)| Bytes::copy_from_slice(&self.bytes[from..to])))
+    fn read_value(&mut self, depth: u8) -> Result<Option<Value>, ProtocolError> {
+        let Some(type_byte) = self.input.get(self.position) else { return Ok(None) };
+        match type_byte {
+            b'$' => Ok(self.read_bulk()?.map(|bounds| {
+                Value::Bulk(bounds.map(|(from, to)| Bytes::copy_from_slice(&self.input[from..to])))
             })),
             b'*' if depth < MAX_DEPTH => {
-                let Some(count) = self.length(b'*', MAX_WORDS)? else { return Ok(None) };
+                let Some(count) = self.read_length(b'*', MAX_ELEMENTS)? else { return Ok(None) };
                 let mut items = Vec::new();
                 for _ in 0..count.unwrap_or(0) {
-                    match self.value(depth + 1)? {
+                    match self.read_value(depth + 1)? {
                         None => return Ok(None),
                         Some(item) => items.push(item),
                     }
@@ -154,9 +162,9 @@
                 Ok(Some(Value::Array(items)))
             }
             b'+' | b'-' | b':' => {
-                let Some(line) = self.line(MAX_LINE)? else { return Ok(None) };
+                let Some(line) = self.read_line(MAX_LINE_BYTES)? else { return Ok(None) };
                 let text = &line[1..];
-                Ok(Some(match mark {
+                Ok(Some(match type_byte {
                     b'+' => Value::SimpleString(Bytes::copy_from_slice(text)),
                     b'-' => Value::Error(Bytes::copy_from_slice(text)),
                     _ => {
@@ -174,11 +182,11 @@
 #[derive(Default)]
 pub struct CommandSkipper {
     /// What there is of a line that states a length.
-    line: Vec<u8>,
+    length_line: Vec<u8>,
     /// Words that the present command still has.
-    words: usize,
+    remaining_arguments: usize,
     /// Bytes that the present word still has, the end of its line included.
-    left: usize,
+    remaining_bytes: usize,
     /// Commands that were whole.
     pub skipped_commands: u64,
 }
@@ -186,70 +194,71 @@
 impl CommandSkipper {
     /// Whether a command has begun that is not whole.
     pub fn has_partial_command(&self) -> bool {
-        self.words > 0 || !self.line.is_empty()
+        self.remaining_arguments > 0 || !self.length_line.is_empty()
     }
 
     /// Passes over a piece; tells where in it the last command ended.
     pub fn skip(&mut self, piece: &[u8]) -> Result<usize, ProtocolError> {
-        let (mut at, mut end) = (0, 0);
-        while at < piece.len() {
-            if self.left > 2 {
-                let content = (self.left - 2).min(piece.len() - at);
-                (at, self.left) = (at + content, self.left - content);
+        let (mut position, mut command_end) = (0, 0);
+        while position < piece.len() {
+            if self.remaining_bytes > 2 {
+                let content = (self.remaining_bytes - 2).min(piece.len() - position);
+                (position, self.remaining_bytes) = (position + content, self.remaining_bytes - content);
                 continue;
             }
-            if self.left == 0 {
-                at += self.length(&piece[at..])?;
+            if self.remaining_bytes == 0 {
+                position += self.read_length_line(&piece[position..])?;
                 continue;
             }
-            if piece[at] != b"\n\r"[self.left - 1] {
-                return Err(UNENDED);
+            if piece[position] != b"\n\r"[self.remaining_bytes - 1] {
+                return Err(UNTERMINATED_BULK);
             }
-            (at, self.left) = (at + 1, self.left - 1);
-            if self.left == 0 {
-                self.words -= 1;
+            (position, self.remaining_bytes) = (position + 1, self.remaining_bytes - 1);
+            if self.remaining_bytes == 0 {
+                self.remaining_arguments -= 1;
             }
-            if self.words == 0 {
-                (self.skipped_commands, end) = (self.skipped_commands + 1, at);
+            if self.remaining_arguments == 0 {
+                (self.skipped_commands, command_end) = (self.skipped_commands + 1, position);
             }
         }
-        Ok(end)
+        Ok(command_end)
     }
 
     /// Reads a line that states a length, which may have begun before; tells how many bytes are done with.
-    fn length(&mut self, bytes: &[u8]) -> Result<usize, ProtocolError> {
-        let before = self.line.len();
-        self.line.extend_from_slice(&bytes[..bytes.len().min(MAX_LENGTH_LINE + 2 - before)]);
-        let mut scan = Scan { bytes: &self.line, at: 0, longest: MAX_VALUE_BYTES };
-        let known = match self.words {
-            0 => scan.count()?.map(|count| (count, 0)),
-            words => match scan.length(b'$', MAX_VALUE_BYTES)? {
-                Some(length) => Some((words, length.ok_or(NULL)? + 2)),
+    fn read_length_line(&mut self, input: &[u8]) -> Result<usize, ProtocolError> {
+        let earlier_bytes = self.length_line.len();
+        self.length_line
+            .extend_from_slice(&input[..input.len().min(MAX_LENGTH_LINE_BYTES + 2 - earlier_bytes)]);
+        let mut parser = Parser { input: &self.length_line, position: 0, max_bulk_bytes: MAX_VALUE_BYTES };
+        let progress = match self.remaining_arguments {
+            0 => parser.read_argument_count()?.map(|count| (count, 0)),
+            arguments => match parser.read_length(b'$', MAX_VALUE_BYTES)? {
+                Some(length) => Some((arguments, length.ok_or(NULL_IN_COMMAND)? + 2)),
                 None => None,
             },
         };
-        let Some(known) = known else { return Ok(self.line.len() - before) };
-        (self.words, self.left) = known;
-        let done = scan.at - before;
-        self.line.clear();
-        Ok(done)
+        let Some(progress) = progress else { return Ok(self.length_line.len() - earlier_bytes) };
+        (self.remaining_arguments, self.remaining_bytes) = progress;
+        let consumed = parser.position - earlier_bytes;
+        self.length_line.clear();
+        Ok(consumed)
     }
 }
 
 /// Adds a bulk string.
-pub fn put_bulk(out: &mut BytesMut, value: &[u8]) {
-    out.put_slice(format!("${}\r\n", value.len()).as_bytes());
-    out.put_slice(value);
-    out.put_slice(b"\r\n");
+pub fn put_bulk(output: &mut BytesMut, value: &[u8]) {
+    output.put_slice(format!("${}\r\n", value.len()).as_bytes());
+    output.put_slice(value);
+    output.put_slice(b"\r\n");
 }
 
 /// A command of some words.
-pub fn encode_command(words: &[&[u8]]) -> Bytes {
-    let size = words.iter().map(|word| word.len() + 16).sum::<usize>() + 16;
-    let mut out = BytesMut::with_capacity(size);
-    out.put_slice(format!("*{}\r\n", words.len()).as_bytes());
-    words.iter().for_each(|word| put_bulk(&mut out, word));
-    out.freeze()
+pub fn encode_command(arguments: &[&[u8]]) -> Bytes {
+    let size = arguments.iter().map(|argument| argument.len() + 16).sum::<usize>() + 16;
+    let mut output = BytesMut::with_capacity(size);
+    output.put_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    arguments.iter().for_each(|argument| put_bulk(&mut output, argument));
+    output.freeze()
 }
 
 #[cfg(test)]
--- a/src/bin/pondproxy-node/resp/tests.rs
+++ b/src/bin/pondproxy-node/resp/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_command_is_taken_only_when_its_last_byte_is_there() {
+fn a_command_is_taken_only_once_it_is_complete() {
     let whole = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..whole.len() {
         let mut part = BytesMut::from(&whole[..cut]);
@@ -12,14 +12,14 @@
     }
     let mut twice = BytesMut::from(&[&whole[..], &whole[..]].concat()[..]);
     for _ in 0..2 {
-        let words = take_command(&mut twice).unwrap().unwrap();
-        assert_eq!(words, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
+        let arguments = take_command(&mut twice).unwrap().unwrap();
+        assert_eq!(arguments, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
     }
     assert!(twice.is_empty());
 }
 
 #[test]
-fn what_is_malformed_or_too_long_is_told_at_once() {
+fn malformed_or_oversized_commands_are_rejected_at_once() {
     for bad in [
         "GET k\r\n",
         "*17\r\n",
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn answers_are_read_and_deep_nesting_is_not() {
+fn replies_are_parsed_and_deep_nesting_is_rejected() {
     let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
     let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
     let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn what_is_passed_over_is_counted_and_malformed_as_if_it_had_been_read_however_it_is_cut() {
+fn skipping_counts_commands_and_finds_errors_like_parsing_however_the_input_is_split() {
     let long = "v".repeat(3000);
     let good = [encode_command(&[b"PING"]), encode_command(&[b"OBJ.SET", b"k", b"", long.as_bytes()])]
         .concat()
         .repeat(3);
-    for (bad, whole) in [
+    for (bad, complete_commands) in [
         (&b""[..], 6),
         (b"*1\r\n$2\r\nab\r", 6),
         (b"GET / HTTP/1.1\r\n", 6),
@@ -61,20 +61,20 @@
         (b"*1\r\n$-1\r\n", 6),
     ] {
         let all = [&good[..], bad].concat();
-        let mut kept = BytesMut::from(&all[..]);
-        let read = std::iter::from_fn(|| take_command(&mut kept).transpose()).find_map(Result::err);
-        for size in [1, 7, 1000, all.len()] {
-            let mut skip = CommandSkipper::default();
-            let told = all.chunks(size).find_map(|piece| skip.skip(piece).err());
+        let mut buffer = BytesMut::from(&all[..]);
+        let parse_error = std::iter::from_fn(|| take_command(&mut buffer).transpose()).find_map(Result::err);
+        for piece_size in [1, 7, 1000, all.len()] {
+            let mut skipper = CommandSkipper::default();
+            let skip_error = all.chunks(piece_size).find_map(|piece| skipper.skip(piece).err());
             assert_eq!(
-                (told, skip.skipped_commands),
-                (read, whole),
-                "{size}: {:?}",
+                (skip_error, skipper.skipped_commands),
+                (parse_error, complete_commands),
+                "{piece_size}: {:?}",
                 String::from_utf8_lossy(bad)
             );
         }
     }
-    let mut skip = CommandSkipper::default();
-    assert_eq!(skip.skip(&[&good[..], b"*1\r\n"].concat()), Ok(good.len()));
-    assert!(skip.has_partial_command());
+    let mut skipper = CommandSkipper::default();
+    assert_eq!(skipper.skip(&[&good[..], b"*1\r\n"].concat()), Ok(good.len()));
+    assert!(skipper.has_partial_command());
 }
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -14,7 +14,7 @@
 use crate::upstream_pool::Protocol;
 
 /// A line of the log names so many servers at most.
-const NAMED_IN_LOG: usize = 8;
+const MAX_SERVERS_PER_LOG_LINE: usize = 8;
 
 /// A listed server.
 pub struct Server {
@@ -24,7 +24,7 @@
     /// What is spoken with it.
     pub protocol: Protocol,
     /// How the decision module knows it.
-    line: ServerEntry,
+    entry: ServerEntry,
     /// When it last answered anything.
     pub last_answer_at: Micros,
 }
@@ -62,13 +62,13 @@
 impl ListChanges {
     /// What became of servers in words, for the log; nothing where nothing did.
     pub fn summary(&self) -> String {
-        let named = self.transitions.iter().take(NAMED_IN_LOG);
-        let mut words: Vec<_> = named.map(|(name, transition)| format!("{name} {transition}")).collect();
-        match self.transitions.len().saturating_sub(NAMED_IN_LOG) {
+        let named = self.transitions.iter().take(MAX_SERVERS_PER_LOG_LINE);
+        let mut parts: Vec<_> = named.map(|(name, transition)| format!("{name} {transition}")).collect();
+        match self.transitions.len().saturating_sub(MAX_SERVERS_PER_LOG_LINE) {
             0 => {}
-            more => words.push(format!("and {more} more")),
+            omitted => parts.push(format!("and {omitted} more")),
         }
-        words.join(", ")
+        parts.join(", ")
     }
 }
 
@@ -91,12 +91,12 @@
 
     /// A server that takes new work.
     pub fn ready(&self, id: ServerId) -> Option<&Server> {
-        self.get(id).filter(|server| server.line.state == ServerState::Ready)
+        self.get(id).filter(|server| server.entry.state == ServerState::Ready)
     }
 
     /// Whether any server takes new work.
     pub fn any_ready(&self) -> bool {
-        self.servers.values().any(|server| server.line.state == ServerState::Ready)
+        self.servers.values().any(|server| server.entry.state == ServerState::Ready)
     }
 
     /// A server has answered something.
@@ -107,113 +107,114 @@
     }
 
     /// Takes over a list or a change of it.
-    pub fn apply(&mut self, kind: ListKind, entries: &[Endpoint], now: Micros) -> ListChanges {
+    pub fn apply(&mut self, kind: ListKind, endpoints: &[Endpoint], now: Micros) -> ListChanges {
         let mut changes = ListChanges::default();
-        for entry in entries {
-            self.apply_entry(entry, now, &mut changes);
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint, now, &mut changes);
         }
         if kind != ListKind::Delta {
-            self.remove_unlisted(entries, &mut changes);
+            self.remove_unlisted(endpoints, &mut changes);
         }
-        self.remove_gone(&changes);
+        self.forget_removed_servers(&changes);
         changes
     }
 
     /// Takes over only which of the servers take no new work any more, by a list or a change of it.
-    pub fn apply_withdrawals(&mut self, listing: &ListUpdate, now: Micros) -> ListChanges {
+    pub fn apply_withdrawals(&mut self, update: &ListUpdate, now: Micros) -> ListChanges {
         let mut changes = ListChanges::default();
-        for entry in &listing.endpoints {
-            if self.withdraws(entry, now) {
-                self.apply_entry(entry, now, &mut changes);
+        for endpoint in &update.endpoints {
+            if self.withdraws_server(endpoint, now) {
+                self.apply_endpoint(endpoint, now, &mut changes);
             }
         }
-        if listing.snapshot {
-            self.remove_unlisted(&listing.endpoints, &mut changes);
+        if update.snapshot {
+            self.remove_unlisted(&update.endpoints, &mut changes);
         }
-        self.remove_gone(&changes);
+        self.forget_removed_servers(&changes);
         changes
     }
 
     /// Whether an entry tells of a ready server that it takes no new work, and not of an earlier process of it.
-    fn withdraws(&self, entry: &Endpoint, now: Micros) -> bool {
-        let id = server_id(entry);
-        let line = self.line(id, entry, now);
-        let older = |server: &Server| line.started_at != 0 && line.started_at < server.line.started_at;
-        line.state != ServerState::Ready && self.ready(id).is_some_and(|server| !older(server))
+    fn withdraws_server(&self, endpoint: &Endpoint, now: Micros) -> bool {
+        let id = server_id(endpoint);
+        let entry = self.server_entry(id, endpoint, now);
+        let is_earlier_process =
+            |server: &Server| entry.started_at != 0 && entry.started_at < server.entry.started_at;
+        entry.state != ServerState::Ready && self.ready(id).is_some_and(|server| !is_earlier_process(server))
     }
 
-    fn remove_gone(&mut self, changes: &ListChanges) {
-        for line in changes.entries.iter().filter(|line| line.state == ServerState::Removed) {
-            self.servers.remove(&line.id);
+    fn forget_removed_servers(&mut self, changes: &ListChanges) {
+        for entry in changes.entries.iter().filter(|entry| entry.state == ServerState::Removed) {
+            self.servers.remove(&entry.id);
         }
     }
 
-    fn apply_entry(&mut self, entry: &Endpoint, now: Micros, changes: &mut ListChanges) {
-        let id = server_id(entry);
-        let before = self.servers.get(&id);
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Micros, changes: &mut ListChanges) {
+        let id = server_id(endpoint);
+        let previous = self.servers.get(&id);
         // An address that can't be read must not keep the rest of the entry from taking effect.
-        let Some(address) = entry.address.parse().ok().or(before.map(|server| server.address)) else {
+        let Some(address) = endpoint.address.parse().ok().or(previous.map(|server| server.address)) else {
             return;
         };
-        let line = self.line(id, entry, now);
-        let protocol = match self.deployment.settings.origin_machine_type == Some(line.machine_type) {
+        let entry = self.server_entry(id, endpoint, now);
+        let protocol = match self.deployment.settings.origin_machine_type == Some(entry.machine_type) {
             true => Protocol::Http,
             false => Protocol::Resp,
         };
-        let name = Box::from(entry.name.as_str());
-        if before.map(|server| server.line.state) != Some(line.state) {
-            changes.transitions.push((Box::clone(&name), ServerTransition::StateChanged(line.state)));
+        let name = Box::from(endpoint.name.as_str());
+        if previous.map(|server| server.entry.state) != Some(entry.state) {
+            changes.transitions.push((Box::clone(&name), ServerTransition::StateChanged(entry.state)));
         }
-        let moved = before.is_some_and(|server| server.address != address);
+        let moved = previous.is_some_and(|server| server.address != address);
         if moved {
             changes.transitions.push((Box::clone(&name), ServerTransition::Moved(address)));
         }
-        if line.state != ServerState::Ready || moved {
+        if entry.state != ServerState::Ready || moved {
             changes.close_idle.push(id);
         }
-        let last_answer_at = before.map_or(0, |server| server.last_answer_at);
-        changes.entries.push(line.clone());
-        self.servers.insert(id, Server { name, address, protocol, line, last_answer_at });
+        let last_answer_at = previous.map_or(0, |server| server.last_answer_at);
+        changes.entries.push(entry.clone());
+        self.servers.insert(id, Server { name, address, protocol, entry, last_answer_at });
     }
 
-    fn line(&self, id: ServerId, entry: &Endpoint, now: Micros) -> ServerEntry {
-        let place = |names: &[String], name: &String| names.iter().position(|known| known == name);
+    fn server_entry(&self, id: ServerId, endpoint: &Endpoint, now: Micros) -> ServerEntry {
+        let index_of = |names: &[String], name: &String| names.iter().position(|candidate| candidate == name);
         ServerEntry {
             id,
-            zone: place(&self.deployment.zones, &entry.zone).unwrap_or(255) as u8,
-            cell: entry.group,
-            machine_type: place(&self.deployment.machine_types, &entry.machine_type)
+            zone: index_of(&self.deployment.zones, &endpoint.zone).unwrap_or(255) as u8,
+            cell: endpoint.group,
+            machine_type: index_of(&self.deployment.machine_types, &endpoint.machine_type)
                 .unwrap_or(usize::from(u16::MAX)) as u16,
-            weight: entry.weight,
+            weight: endpoint.weight,
             // In the module's clock, which is Unix time here; 0 stays 0, and nothing starts in the future.
-            started_at: match entry.since_ms {
+            started_at: match endpoint.since_ms {
                 0 => 0,
                 since_ms => since_ms.saturating_mul(1_000).min(now),
             },
-            state: condition(entry),
+            state: server_state(endpoint),
         }
     }
 
     /// A server that a whole list does not name has been removed.
-    fn remove_unlisted(&mut self, entries: &[Endpoint], changes: &mut ListChanges) {
-        let listed: HashSet<_> = entries.iter().map(server_id).collect();
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint], changes: &mut ListChanges) {
+        let listed: HashSet<_> = endpoints.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
             changes.close_idle.push(*id);
             changes.transitions.push((
                 std::mem::take(&mut server.name),
                 ServerTransition::StateChanged(ServerState::Removed),
             ));
-            changes.entries.push(ServerEntry { state: ServerState::Removed, ..server.line.clone() });
+            changes.entries.push(ServerEntry { state: ServerState::Removed, ..server.entry.clone() });
         }
     }
 }
 
-fn server_id(entry: &Endpoint) -> ServerId {
-    xxh3_64(entry.name.as_bytes()) as ServerId
+fn server_id(endpoint: &Endpoint) -> ServerId {
+    xxh3_64(endpoint.name.as_bytes()) as ServerId
 }
 
-fn condition(entry: &Endpoint) -> ServerState {
-    match entry.status.as_str() {
+fn server_state(endpoint: &Endpoint) -> ServerState {
+    match endpoint.status.as_str() {
         "active" => ServerState::Ready,
         "left" => ServerState::Removed,
         _ => ServerState::Draining,
