--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -20,7 +20,8 @@
 pub use list::{Endpoint, ListUpdate};
 
 /// Pauses before a watch on pushed lists is opened again: the first, and the longest.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+const MIN_REOPEN_PAUSE: Duration = Duration::from_millis(100);
+const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
 /// The longest is no more than this part of the time within which sends to a server that drains must stop:
 /// what the agent learns counts as notified at once, also while no watch is open.
 const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
@@ -183,7 +184,7 @@
         self.latest_watch_id.store(id, Ordering::Relaxed);
         let latest_watch_id = self.latest_watch_id.clone();
         let keep_watch_open = async move {
-            let mut pause = BACKOFF.0;
+            let mut pause = MIN_REOPEN_PAUSE;
             // One that was superseded stays to its end and is not opened again.
             while latest_watch_id.load(Ordering::Relaxed) == id {
                 let opened_at = Instant::now();
@@ -238,8 +239,8 @@
 
 /// The pause after a watch on pushed lists that stood for some time, and after a pause before it.
 fn next_backoff(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
-    let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(BACKOFF.0, BACKOFF.1);
-    if open_duration > BACKOFF.1 { BACKOFF.0 } else { (previous * 2).min(max_pause) }
+    let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(MIN_REOPEN_PAUSE, MAX_REOPEN_PAUSE);
+    if open_duration > MAX_REOPEN_PAUSE { MIN_REOPEN_PAUSE } else { (previous * 2).min(max_pause) }
 }
 
 #[cfg(test)]
@@ -249,16 +250,16 @@
     #[test]
     fn a_watch_on_pushed_lists_reopens_within_half_of_the_drain_grace_time() {
         for grace in [200, 700, 2_000, 60_000].map(Duration::from_millis) {
-            let (mut pause, mut longest) = (BACKOFF.0, Duration::ZERO);
+            let (mut pause, mut longest) = (MIN_REOPEN_PAUSE, Duration::ZERO);
             for _ in 0..20 {
                 pause = next_backoff(pause, Duration::from_millis(1), grace);
                 longest = longest.max(pause);
             }
-            let bound = (grace / 2).min(BACKOFF.1);
-            assert!(longest <= bound && longest >= BACKOFF.0, "{longest:?} of a grace of {grace:?}");
+            let bound = (grace / 2).min(MAX_REOPEN_PAUSE);
+            assert!(longest <= bound && longest >= MIN_REOPEN_PAUSE, "{longest:?} of a grace of {grace:?}");
             let after_stable_watch = next_backoff(longest, Duration::from_secs(60), grace);
             assert_eq!(
-                after_stable_watch, BACKOFF.0,
+                after_stable_watch, MIN_REOPEN_PAUSE,
                 "one that stood for long, whether or not it had anything to tell"
             );
         }
