--- a/src/bin/pondproxy-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -1,4 +1,4 @@
-//! `$ROUTER_CONFIG` and the variables beside it, read into typed settings.
+//! Reads the configuration file that `ROUTER_CONFIG` names, and the environment variables that override it.
 
 use std::net::SocketAddr;
 
@@ -8,47 +8,46 @@
 
 use crate::discovery::ListUpdate;
 
-/// All that a node is told at its start.
+/// The configuration of a node.
 #[derive(Debug)]
 pub struct NodeConfig {
-    /// Where clients connect.
+    /// Address that the node listens on for clients.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the module's random numbers.
+    /// Seed for the random numbers of the decision module.
     pub seed: u64,
-    /// Sockets that the node may hold, all counted.
+    /// Maximum number of sockets that the node may hold, of every kind.
     pub sockets: usize,
-    /// Memory that the node may have in all, in megabytes.
+    /// Maximum memory of the whole process, in megabytes.
     pub memory_mb: usize,
-    /// The list of servers as this node last had it.
+    /// The server list that this node had before its restart.
     pub known: ListUpdate,
-    /// The settings.
     pub deployment: Deployment,
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration is unusable.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// A variable that must be set is not.
+    /// A required environment variable is not set.
     Unset(&'static str),
-    /// The file can't be read.
+    /// The file cannot be read.
     File(String, std::io::Error),
-    /// It is not what it should be.
+    /// The file is not valid JSON, or a field has the wrong type.
     Json(serde_json::Error),
-    /// A field has no usable value.
+    /// A field is missing or has an invalid value.
     Field(&'static str, String),
-    /// The settings can't be used.
+    /// The settings are invalid.
     Settings(String),
 }
 
 impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ConfigError::Unset(name) => write!(f, "{name} is not set"),
+            ConfigError::Unset(name) => write!(f, "environment variable {name} is not set"),
             ConfigError::File(path, e) => write!(f, "cannot read {path}: {e}"),
-            ConfigError::Json(e) => write!(f, "unreadable configuration: {e}"),
-            ConfigError::Field(name, value) => write!(f, "unusable {name} in the configuration: {value:?}"),
+            ConfigError::Json(e) => write!(f, "cannot parse the configuration: {e}"),
+            ConfigError::Field(name, value) => write!(f, "invalid {name} in the configuration: {value:?}"),
             ConfigError::Settings(e) => write!(f, "{e}"),
         }
     }
@@ -85,20 +84,20 @@
     }
 }
 
-/// Fewer sockets than this leave no room for clients and servers beside the node's own.
+/// With fewer sockets, nothing is left for clients and servers after those that the node itself needs.
 const MIN_SOCKETS: usize = 32;
 
-/// Less memory than this leaves no room beside the program itself.
+/// With less memory, nothing is left after what the program itself needs.
 const MIN_MEMORY_MB: usize = 16;
 
 impl NodeConfig {
-    /// Reads the configuration that the environment names, at the start.
+    /// Reads the configuration at the start of the process.
     pub fn from_env() -> Result<NodeConfig, ConfigError> {
         Self::read(false)
     }
 
-    /// Reads it again. Against a reload that changes nothing: the environment is that of the start, so what
-    /// the file says of discovery goes before it now.
+    /// Reads the configuration again. Here `discovery` in the file takes precedence over `ROUTER_DISCOVERY`:
+    /// the environment cannot change after the start, so a reload would otherwise have no effect.
     pub fn reload() -> Result<NodeConfig, ConfigError> {
         Self::read(true)
     }
@@ -112,7 +111,7 @@
         let settings = file.settings.ok_or_else(|| ConfigError::Field("settings", String::new()))?;
         let deployment = settings::parse(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
         if deployment.classes.is_empty() {
-            return Err(ConfigError::Settings("the settings name no class of requests".into()));
+            return Err(ConfigError::Settings("settings define no request class".into()));
         }
         if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::Field("limits.sockets", file.limits.sockets.to_string()));
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -1,5 +1,5 @@
-//! The calls to discovery that are out: which one is in force, and which it has superseded. Decides nothing of when one
-//! is made, and does not look into what they bring.
+//! The calls to discovery in progress: which of them is in force, and which ones it has superseded. Does not
+//! decide when a call is made, and does not look into the lists that calls receive.
 
 mod call;
 mod list;
@@ -19,43 +19,46 @@
 use call::Call;
 pub use list::{Endpoint, ListUpdate};
 
-/// Pauses before a watch on pushed lists is opened again: the first, and the longest.
+/// Shortest pause before a watch on pushed lists is reopened. The pause doubles after each watch that was not
+/// stable.
 const MIN_REOPEN_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause before a watch on pushed lists is reopened, and the time for which a stable watch stays
+/// open.
 const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
-/// The longest is no more than this part of the time within which sends to a server that drains must stop:
-/// what the agent learns counts as notified at once, also while no watch is open.
+/// The longest pause is also at most the drain grace time divided by this: the node counts as notified of a
+/// change as soon as the local agent learns of it, even while no watch is open.
 const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
-/// Calls that were superseded and have not ended yet, at most: each holds a descriptor of the node's reserve.
+/// Maximum number of superseded calls that are still open; each holds a descriptor of the node's reserve.
 const MAX_SUPERSEDED_CALLS: usize = 3;
 
-/// Names a call to discovery; never used twice.
+/// Identifies a call to discovery; never reused.
 pub type CallId = u64;
 
-/// What a call to discovery brings.
+/// An event of a call to discovery.
 #[derive(Debug)]
 pub enum CallEvent {
-    /// A list or a change.
+    /// A complete list, or a change of the list.
     List(ListUpdate),
-    /// What came whole of a list that was cut off.
+    /// The complete entries of a list that was truncated.
     PartialList(ListUpdate),
-    /// All that discovery had to tell at first has come.
+    /// The first list, or the line that stands for no change, has been received.
     Synchronized,
-    /// The call failed or the watch ended, and for how long nothing had been heard.
+    /// The call failed or the watch ended; `since_last_contact` is the time without contact.
     Failed { failure: DiscoveryFailure, since_last_contact: Duration },
 }
 
-/// How a call stands to the others.
+/// Whether the events of a call still apply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallStatus {
-    /// What it brings is in force.
+    /// The lists that the call receives come into force.
     Current,
-    /// Another was made in its place and has not been answered yet.
+    /// A new call replaces this one and has not been answered yet.
     Superseded,
-    /// It is over, or the one in its place has been answered.
+    /// The call has ended, or the call that replaces it has been answered.
     Ended,
 }
 
-/// A call that is out; ends when dropped.
+/// A call in progress; dropping it aborts the call.
 struct CallTask {
     id: CallId,
     task: AbortHandle,
@@ -67,29 +70,28 @@
     }
 }
 
-/// The calls to discovery that are out.
+/// The calls to discovery in progress.
 pub struct Discovery {
     address: SocketAddr,
-    /// Where it is from the next call on.
+    /// The address for the next call, if discovery has moved.
     next_address: Option<SocketAddr>,
-    /// Version of the list held.
+    /// Version of the list in force.
     index: Arc<AtomicU64>,
     event_sender: mpsc::Sender<NodeEvent>,
     watch: Option<CallTask>,
-    /// Watches that the present one has superseded. They go on until it is answered: what discovery writes to them counts
-    /// as notified, and the new call may wait in line or be turned away.
+    /// Watches that the present one has superseded. They stay open until it is answered: the node counts as
+    /// notified of what discovery writes to them, and the new call may be queued or rejected.
     superseded: VecDeque<CallTask>,
     fetch: Option<CallTask>,
-    /// The call that was made last.
     last_call_id: CallId,
-    /// The watch that was opened last, for those that would open theirs again.
+    /// Id of the latest watch on pushed lists; the task of an older one does not reopen its watch.
     latest_watch_id: Arc<AtomicU64>,
     drain_grace: Duration,
 }
 
 impl Discovery {
-    /// Discovery at an address, where a list of a version is held; sends to servers that drain must stop within
-    /// a grace.
+    /// Returns the state before the first call to discovery at `address`. `index` is the version of the list
+    /// in force, `drain_grace` the time within which sending to a draining server must stop.
     pub fn new(
         address: SocketAddr,
         index: u64,
@@ -110,23 +112,23 @@
         }
     }
 
-    /// Discovery is at another address from the next call on. Until then the watch at the old one stays, which
-    /// goes on for a while after a move.
+    /// Sets the address for the next call. Until that call is made the watch at the former address stays
+    /// open, because the former discovery keeps serving for a while after a move.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.next_address = Some(address);
     }
 
-    /// Whether it has moved, and no call has been made since.
+    /// Whether discovery has moved and has not been called at its new address yet.
     pub fn move_pending(&self) -> bool {
         self.next_address.is_some()
     }
 
-    /// Where discovery is.
+    /// Returns the latest known address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.next_address.unwrap_or(self.address)
     }
 
-    /// How a call stands to the others.
+    /// Returns whether the events of a call still apply.
     pub fn call_status(&self, id: CallId) -> CallStatus {
         let has_id = |call: &CallTask| call.id == id;
         if self.watch.iter().chain(&self.fetch).any(has_id) {
@@ -138,29 +140,29 @@
         }
     }
 
-    /// The call in force is answered: those that it has superseded are of no more use.
+    /// Closes the superseded calls; called once the present call has been answered.
     pub fn close_superseded(&mut self) {
         self.superseded.clear();
     }
 
-    /// A call has ended by itself.
+    /// Forgets a call that has ended by itself.
     pub fn call_ended(&mut self, id: CallId) {
         self.watch.take_if(|call| call.id == id);
         self.fetch.take_if(|call| call.id == id);
         self.superseded.retain(|call| call.id != id);
     }
 
-    /// Version of the list held.
+    /// Returns the version of the list in force.
     pub fn index(&self) -> u64 {
         self.index.load(Ordering::Relaxed)
     }
 
-    /// A list of a version is held now.
+    /// Sets the version of the list in force.
     pub fn set_index(&self, index: u64) {
         self.index.store(index, Ordering::Relaxed);
     }
 
-    /// Begins the watch, anew if there is one, or ends it.
+    /// Opens a watch, which supersedes an open one, or closes all watches.
     pub fn subscribe(&mut self, subscribed: bool) {
         let call_parameters = self.new_watch_call();
         if !subscribed {
@@ -171,13 +173,14 @@
         self.watch = Some(spawn_call(id, async move { call.watch(&index).await }));
     }
 
-    /// Asks for the whole list once.
+    /// Requests the complete list once.
     pub fn fetch(&mut self) {
         let call_parameters = self.new_call();
         self.fetch = Some(spawn_call(call_parameters.id, call_parameters.start().fetch()));
     }
 
-    /// Where lists are pushed, an agent on this machine has them: its watch is opened again by itself.
+    /// Opens a watch that reopens itself whenever it ends. For deployments that push lists: an agent on the
+    /// local machine receives them and serves the watch.
     pub fn watch_pushed_lists(&mut self) {
         let call_parameters = self.new_watch_call();
         let (id, index, drain_grace) = (call_parameters.id, self.index.clone(), self.drain_grace);
@@ -185,7 +188,7 @@
         let latest_watch_id = self.latest_watch_id.clone();
         let keep_watch_open = async move {
             let mut pause = MIN_REOPEN_PAUSE;
-            // One that was superseded stays to its end and is not opened again.
+            // A superseded watch stays open until it ends and is not reopened.
             while latest_watch_id.load(Ordering::Relaxed) == id {
                 let opened_at = Instant::now();
                 call_parameters.start().watch_quietly(&index).await;
@@ -196,8 +199,9 @@
         self.watch = Some(spawn_call(id, keep_watch_open));
     }
 
-    /// Turns to where discovery is now, and sets the watch that is open aside until the next call is answered. Against a
-    /// list that stands still: a new discovery counts versions in its own way, so that the whole list is taken from it.
+    /// Returns the parameters of a new watch at the present address of discovery, and supersedes the open
+    /// watch. After a move, the version is reset, so that the complete list is requested: a new discovery
+    /// counts versions in its own way, and after a version of the former one it might never send a change.
     fn new_watch_call(&mut self) -> CallParameters {
         self.superseded.extend(self.watch.take());
         if self.superseded.len() > MAX_SUPERSEDED_CALLS {
@@ -209,7 +213,7 @@
         self.new_call()
     }
 
-    /// A call to where discovery was called last.
+    /// Returns the parameters of a new call to the address that was called last.
     fn new_call(&mut self) -> CallParameters {
         self.last_call_id += 1;
         CallParameters {
@@ -220,7 +224,7 @@
     }
 }
 
-/// All that a call needs to begin.
+/// Parameters that a call starts with.
 struct CallParameters {
     id: CallId,
     address: SocketAddr,
@@ -237,7 +241,8 @@
     CallTask { id, task: tokio::spawn(call).abort_handle() }
 }
 
-/// The pause after a watch on pushed lists that stood for some time, and after a pause before it.
+/// Returns the pause before a watch on pushed lists is reopened, from the previous pause and the time for
+/// which the watch was open.
 fn next_backoff(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
     let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(MIN_REOPEN_PAUSE, MAX_REOPEN_PAUSE);
     if open_duration > MAX_REOPEN_PAUSE { MIN_REOPEN_PAUSE } else { (previous * 2).min(max_pause) }
@@ -256,11 +261,14 @@
                 longest = longest.max(pause);
             }
             let bound = (grace / 2).min(MAX_REOPEN_PAUSE);
-            assert!(longest <= bound && longest >= MIN_REOPEN_PAUSE, "{longest:?} of a grace of {grace:?}");
+            assert!(
+                longest <= bound && longest >= MIN_REOPEN_PAUSE,
+                "longest pause {longest:?} with a drain grace time of {grace:?}"
+            );
             let after_stable_watch = next_backoff(longest, Duration::from_secs(60), grace);
             assert_eq!(
                 after_stable_watch, MIN_REOPEN_PAUSE,
-                "one that stood for long, whether or not it had anything to tell"
+                "after a watch that was open for long, whether or not it received anything"
             );
         }
     }
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -1,4 +1,5 @@
-//! One call to discovery: makes it, and reports what it brings until it ends. Knows nothing of other calls.
+//! One call to discovery: sends the request and reports the lists that it receives until it ends. Knows
+//! nothing of other calls.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,54 +19,55 @@
 use crate::stream_io;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Calls wait in turn at discovery: it is given this long to begin its answer. What it has to tell counts as
-/// notified six seconds after it fell silent, and the call after a silence may be silent too: with these two limits
-/// there is time for a third.
+/// Time within which discovery, which queues calls, must send the head of its response. The node counts as
+/// notified of a change 6 s after discovery stopped responding, and the call after one that timed out may
+/// time out too: this limit and `WATCH_IDLE_TIMEOUT` leave time for a third call.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A watch brings a line every two seconds: one that is silent for longer is dead.
+/// Time after which a watch without a list or an empty line is dead; discovery sends a line every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Answers are read in pieces of this size.
+/// Size of one read from the socket.
 const READ_SIZE_BYTES: usize = 16 * 1024;
-/// The longest list.
+/// Maximum size of one list.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call to discovery ended.
 enum CallError {
-    /// No connection came about: discovery never took it.
+    /// The connection was not established: discovery never accepted the call.
     Unreachable(std::io::Error),
-    /// It broke.
+    /// The connection failed.
     Io(std::io::Error),
-    /// It was silent for too long.
+    /// Discovery sent nothing for too long.
     TimedOut,
-    /// It was turned away.
+    /// Discovery rejected the call with this HTTP status.
     Status(u16),
-    /// It brought what is no list; the list held stays in force.
+    /// The response is not a valid list; the previous list stays in force.
     Malformed,
-    /// Its answer ended before it was whole, perhaps in a list.
+    /// The response ended before it was complete, possibly within a list.
     Truncated,
 }
 
 impl std::fmt::Display for CallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            CallError::Unreachable(e) => write!(f, "no connection: {e}"),
+            CallError::Unreachable(e) => write!(f, "connection failed: {e}"),
             CallError::Io(e) => write!(f, "{e}"),
-            CallError::TimedOut => write!(f, "silent for too long"),
-            CallError::Status(status) => write!(f, "answered with status {status}"),
-            CallError::Malformed => write!(f, "brought no list"),
-            CallError::Truncated => write!(f, "its answer was cut off"),
+            CallError::TimedOut => write!(f, "nothing received for too long"),
+            CallError::Status(status) => write!(f, "rejected with HTTP status {status}"),
+            CallError::Malformed => write!(f, "response is not a valid server list"),
+            CallError::Truncated => write!(f, "response truncated"),
         }
     }
 }
 
 impl CallError {
-    /// What it means for the next call, of one that was answered or not.
+    /// Classifies the error for the decision module; `synchronized` is whether the call had received a list
+    /// or an empty line.
     fn failure(&self, synchronized: bool) -> DiscoveryFailure {
         match self {
             CallError::Unreachable(_) => DiscoveryFailure::Unreachable,
             CallError::TimedOut => DiscoveryFailure::TimedOut,
             CallError::Truncated => DiscoveryFailure::Interrupted,
-            // A reset takes with it what was written and not yet read.
+            // A connection reset discards what discovery has written and the node has not read yet.
             CallError::Io(_) if synchronized => DiscoveryFailure::Interrupted,
             CallError::Io(_) | CallError::Status(_) | CallError::Malformed => DiscoveryFailure::Failed,
         }
@@ -90,30 +92,32 @@
     }
 }
 
-/// A call, and where its news goes.
+/// A call, and the channel for its events.
 pub struct Call {
     id: CallId,
     address: SocketAddr,
     event_sender: mpsc::Sender<NodeEvent>,
-    /// Until when all that discovery had to tell has been heard.
+    /// Time up to which all changes that discovery had to report have been received.
     last_contact_at: Instant,
-    /// Whether anything has been heard.
+    /// Whether a list, or the empty line that stands for no change, has been received.
     synchronized: bool,
 }
 
 impl Call {
-    /// A call that begins now.
+    /// Returns a call that starts now.
     pub fn new(id: CallId, address: SocketAddr, event_sender: mpsc::Sender<NodeEvent>) -> Self {
         Call { id, address, event_sender, last_contact_at: Instant::now(), synchronized: false }
     }
 
-    /// Opens a watch on what changes after a version, and reports how it ended.
+    /// Opens a watch for changes after version `index`, or for the complete list if that is 0, and reports
+    /// how it ended.
     pub async fn watch(mut self, index: &AtomicU64) {
         let result = self.receive_lists(&watch_path(index)).await;
         self.report_end(result).await;
     }
 
-    /// Opens a watch and reports nothing of its end, which is logged only if it brought something.
+    /// Like [`Self::watch`], but does not report the end of the watch, and logs it only if something was
+    /// received.
     pub async fn watch_quietly(mut self, index: &AtomicU64) {
         let result = self.receive_lists(&watch_path(index)).await;
         if let Err(e) = result
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Asks for the whole list once.
+    /// Requests the complete list once; reports the end of the call only if it failed.
     pub async fn fetch(mut self) {
         let result = self.receive_lists("/v1/servers").await;
         if result.is_err() {
@@ -135,17 +139,17 @@
         let _ = self.event_sender.send(NodeEvent::Discovery(self.id, event)).await;
     }
 
-    /// Logs how the call ended, and tells as much as matters for the next.
+    /// Logs how the call ended, and reports the failure, which determines when the next call is made.
     async fn report_end(&self, result: Result<(), CallError>) {
         match &result {
-            Ok(()) => log("discovery: the watch has ended"),
+            Ok(()) => log("discovery: watch ended"),
             Err(e) => log(&format!("discovery: {e}")),
         }
         let failure = result.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.synchronized));
         self.report(CallEvent::Failed { failure, since_last_contact: self.last_contact_at.elapsed() }).await;
     }
 
-    /// Makes the call and reports each list of its answer, until that ends.
+    /// Makes the call and reports each list of the response until the response ends.
     async fn receive_lists(&mut self, path: &str) -> Result<(), CallError> {
         let started_at = Instant::now();
         let stream = self.connect(path).await?;
@@ -181,7 +185,7 @@
         raw: &mut BytesMut,
         body: &mut Body,
     ) -> Result<(), CallError> {
-        // All limits are points in time: what trickles in moves none of them.
+        // A fixed deadline: bytes that trickle in without completing a list do not extend it.
         let mut read_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
         loop {
             body.consume(raw)?;
@@ -189,7 +193,7 @@
                 read_deadline = self.last_contact_at + WATCH_IDLE_TIMEOUT;
             }
             if body.ended {
-                // What is left over is a list that was cut off.
+                // Remaining content is a truncated list.
                 return if body.content.is_empty() { Ok(()) } else { Err(CallError::Truncated) };
             }
             if body.content.len() > MAX_LIST_BYTES {
@@ -200,7 +204,7 @@
                 .map_err(|_| CallError::TimedOut)?;
             if !matches!(read, Ok(count) if count > 0) {
                 if self.synchronized && body.content.is_empty() {
-                    // Between two lists: up to the break there was no more to tell.
+                    // The connection ended between two lists, so until then there were no further changes.
                     self.last_contact_at = Instant::now();
                 }
                 read?;
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Reports what came whole of a list that was cut off.
+    /// Reports the complete entries of a truncated list.
     async fn report_partial_list(&self, content: &[u8]) {
         let endpoints = list::whole_entries(content);
         if !endpoints.is_empty() {
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Reports the lists that are whole; tells whether there was one, or an empty line.
+    /// Reports the complete lists; returns whether there was a list or an empty line.
     async fn report_lists(&mut self, content: &mut BytesMut) -> Result<bool, CallError> {
         let parsed = list::take_lists(content)?;
         for list in parsed.lists {
@@ -245,7 +249,7 @@
     }
 }
 
-/// Reads until the head of the answer is whole, and takes it off what was read.
+/// Reads until the head of the response is complete, and removes it from `raw`.
 async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
     let read_deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
     loop {
@@ -262,21 +266,21 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Default)]
 struct Body {
-    /// Its content, as far as it was not taken for a list.
+    /// Decoded content that has not been parsed as a list yet.
     content: BytesMut,
-    /// Takes the chunks apart, where it comes in such.
+    /// Decoder for a chunked body.
     chunked_decoder: Option<ChunkedDecoder>,
-    /// What is still to come of a stated length.
+    /// Bytes still to come of a body with a content length; `usize::MAX` at first for a body without one.
     remaining_bytes: usize,
-    /// Nothing more belongs to it.
+    /// Whether the body is complete.
     ended: bool,
 }
 
 impl Body {
-    /// Takes what belongs to it off what was read.
+    /// Moves the bytes of the body from `raw` to the content.
     fn consume(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
         if let Some(chunked_decoder) = &mut self.chunked_decoder {
             self.ended |= chunked_decoder.decode(raw, &mut self.content)?;
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -1,44 +1,40 @@
-//! Discovery's lists of servers: their form, and how they are taken out of what a call brings. No sockets.
+//! Server lists of discovery: their JSON form, and how they are parsed from the response of a call. No I/O.
 
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
 
-/// A list of servers, or a change of it.
+/// A server list, or a change of the list.
 #[derive(Deserialize, Default, Debug)]
 pub struct ListUpdate {
-    /// Its version.
+    /// Version of the list.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is whole.
+    /// Whether the list is complete, rather than a change of an earlier one.
     #[serde(default)]
     pub snapshot: bool,
-    /// Its entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A server of the list.
+/// The entry of a server.
 #[derive(Deserialize, Debug)]
 pub struct Endpoint {
-    /// Its name, the same at every node.
+    /// Name of the server, the same at every node.
     pub name: String,
-    /// Where it is.
+    /// IP address and port.
     #[serde(default)]
     pub address: String,
-    /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its machine kind.
     #[serde(default, rename = "type")]
     pub machine_type: String,
-    /// Its group of servers.
+    /// Cell of the server.
     #[serde(default)]
     pub group: u16,
-    /// Whether it runs, leaves or has left.
+    /// `active`, `left`, or any other value for a server that drains.
     pub status: String,
-    /// Its weight.
     #[serde(default = "default_weight")]
     pub weight: f32,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// Time of the last start of its process, in milliseconds of Unix time; 0 means long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
@@ -47,21 +43,21 @@
     1.0
 }
 
-/// What came is no list.
+/// The input is not a valid list.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedList;
 
-/// What was taken off the front of a call's answer.
+/// The result of parsing the start of a response.
 #[derive(Debug, Default)]
 pub struct ParsedLists {
-    /// The lists that were whole.
+    /// The complete lists.
     pub lists: Vec<ListUpdate>,
-    /// Whether there was a list, or the empty line that stands for no change.
+    /// Whether there was a list or an empty line, which stands for no change.
     pub any_received: bool,
 }
 
-/// Takes the lists that are whole off the front of what came. They may be indented: what ends one is its end, not
-/// that of a line.
+/// Removes the complete lists from the front of `body`. A list may span several lines, so it ends where its
+/// JSON value ends and not at a line end.
 pub fn take_lists(body: &mut BytesMut) -> Result<ParsedLists, MalformedList> {
     let mut parsed = serde_json::Deserializer::from_slice(body).into_iter::<ListUpdate>();
     let (mut lists, mut consumed) = (Vec::new(), 0);
@@ -82,7 +78,7 @@
     Ok(ParsedLists { lists, any_received })
 }
 
-/// The entries that came whole of a list that was cut off.
+/// Returns the complete entries of a truncated list.
 pub fn whole_entries(truncated: &[u8]) -> Vec<Endpoint> {
     let mut entries = Vec::new();
     let Some(mut rest) = after_entries_bracket(truncated) else { return entries };
@@ -96,7 +92,7 @@
     }
 }
 
-/// What follows the bracket that opens the entries of a list.
+/// Returns the part of a list after the bracket that opens its entries.
 fn after_entries_bracket(list: &[u8]) -> Option<&[u8]> {
     const ENTRIES_KEY: &[u8] = b"\"endpoints\"";
     let key_start = list.windows(ENTRIES_KEY.len()).position(|part| part == ENTRIES_KEY)?;
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -1,5 +1,6 @@
-//! The loop that owns the decision module: what arrives becomes its events, its actions become I/O. It
-//! decides nothing; where the sockets force its hand, a comment says so.
+//! The event loop, which owns the decision module: it turns input into events for that module and the
+//! module's actions into I/O. It makes no decisions of its own, except where a limit on sockets or memory
+//! leaves no choice; a comment marks each such place.
 
 mod server_lists;
 
@@ -26,26 +27,26 @@
 use crate::upstream_pool::{AttemptId, ConnEvent, ConnId, Protocol, ServerReply, UpstreamPool};
 use crate::{cache_protocol, log, origin_protocol, resp};
 
-/// What reaches the loop.
+/// An input of the event loop.
 #[derive(Debug)]
 pub enum NodeEvent {
-    /// A client asks.
+    /// A client sent a request.
     Request(Box<ClientRequest>),
-    /// A client has closed its connection.
+    /// A client's connection ended while a request was open on it.
     ClientDisconnected(ClientId),
     /// An event of a connection to a server.
     Connection(ConnId, ConnEvent),
     /// An event of a call to discovery.
     Discovery(CallId, CallEvent),
-    /// The table of sockets is full, and a client wants a place.
+    /// Few connection slots are left for clients, and servers hold more than their guaranteed share.
     SlotsLow,
-    /// The configuration was read anew.
+    /// The configuration was read again after SIGHUP.
     Reload(Box<NodeConfig>),
-    /// The platform asks the node to end.
+    /// SIGTERM or SIGINT was received.
     Terminate,
 }
 
-/// The node's one clock: Unix time in microseconds at the start, and steady from there on.
+/// The node's only clock: starts at Unix time, in microseconds, and is monotonic from then on.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start_instant: Instant,
@@ -53,42 +54,42 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock that starts now.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start_instant: Instant::now(), unix_start: since_epoch.as_micros() as Micros }
     }
 
-    /// The time.
+    /// Returns the present time.
     pub fn now(self) -> Micros {
         self.unix_start + self.start_instant.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a time.
+    /// Converts a time of this clock to an instant of the runtime.
     fn to_instant(self, at: Micros) -> tokio::time::Instant {
         (self.start_instant + Duration::from_micros(at.saturating_sub(self.unix_start))).into()
     }
 }
 
-/// After SIGTERM, connections go on being taken for this long: new ones keep coming for up to 0.4 s.
+/// Time after SIGTERM during which connections are still accepted: new ones arrive for up to 0.4 s.
 const ACCEPT_AFTER_TERMINATE_US: Micros = 450_000;
-/// A node that drains ends this long after the longest deadline at the latest.
+/// A draining node exits no later than the longest deadline of a class plus this margin.
 const DRAIN_MARGIN_US: Micros = 550_000;
 const IDLE_SWEEP_INTERVAL_US: Micros = 1_000_000;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum NodeTimer {
-    /// A timer of the module.
+    /// A timer of the decision module, with its token.
     Policy(u32),
-    /// An attempt is given up.
+    /// The time-out of an attempt.
     AttemptTimeout(RequestId, u16),
-    /// A client's time is up.
+    /// The deadline of a request.
     RequestDeadline(RequestId),
-    /// Idle connections are looked through.
+    /// Close server connections that have been idle for too long.
     IdleSweep,
-    /// Connections of clients are closed from now on.
+    /// Stop accepting client connections and close those that are idle.
     BeginDrain,
-    /// Whether all is answered is looked at.
+    /// Exit if every request is answered and no client is connected.
     DrainCheck,
 }
 
@@ -98,12 +99,13 @@
     liveness: ClientLiveness,
     reply_index: u64,
     reply_sender: mpsc::Sender<ClientReply>,
-    /// Held while there is something to send.
+    /// Held until the request is finished, since until then its value may have to be sent.
     reservation: Option<MemoryReservation>,
     deadline: Micros,
     attempts_sent: u16,
-    /// Attempts without an outcome.
+    /// Number of attempts without an outcome.
     attempts_in_flight: u16,
+    /// Whether the request has its final answer or its client has disconnected.
     finished: bool,
 }
 
@@ -113,7 +115,7 @@
     conn_id: ConnId,
 }
 
-/// The node.
+/// State of the event loop.
 pub struct Node {
     deployment: Arc<Deployment>,
     clock: Clock,
@@ -127,12 +129,14 @@
     pool: UpstreamPool,
     memory: MemoryBudget,
     discovery: Discovery,
+    /// The list from before the restart; taken when the event loop starts.
     cached_list: Option<ListUpdate>,
+    /// Time at which a draining node exits at the latest; `None` before SIGTERM or SIGINT.
     drain_deadline: Option<Micros>,
 }
 
 impl Node {
-    /// A node that has not begun yet.
+    /// Returns a node whose event loop is not running yet.
     pub fn new(
         config: NodeConfig,
         deployment: Arc<Deployment>,
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Runs until the node has drained; `idle` tells whether no client is connected any more.
+    /// Runs until the node has drained. `no_clients_connected` returns whether the last client has
+    /// disconnected.
     pub async fn run(
         mut self,
         mut event_receiver: mpsc::Receiver<NodeEvent>,
@@ -247,10 +252,11 @@
         }
     }
 
-    /// A new configuration: discovery moves. What the module was built with stays until a restart.
+    /// Applies a new configuration: only the address of discovery changes. The settings that the decision
+    /// module was created with stay until a restart.
     fn reload(&mut self, config: &NodeConfig) {
         if config.deployment != *self.deployment {
-            log("reload: changed settings take effect at the next start");
+            log("reload: changed settings take effect at the next restart");
         }
         if config.discovery != self.discovery.address() {
             self.discovery.move_to(config.discovery);
@@ -259,7 +265,7 @@
                 false => self.discovery.watch_pushed_lists(),
             }
         }
-        log(&format!("reload: discovery is at {}", config.discovery));
+        log(&format!("reload: address of discovery is {}", config.discovery));
     }
 
     fn handle_timer(&mut self, timer: NodeTimer, now: Micros) {
@@ -270,7 +276,8 @@
                 self.process_queued_events();
             }
             NodeTimer::RequestDeadline(id) => {
-                // The module ends a request before this. Should it not, the client still gets its answer.
+                // The decision module ends a request before its deadline. If it fails to, the client still
+                // gets an answer.
                 if self.open_requests.get(&id).is_some_and(|open_request| !open_request.finished) {
                     self.send_answer(id, Bytes::from_static(b"-ERR failed\r\n"));
                     self.dispatch_event(Event::ClientGone(id));
@@ -284,9 +291,9 @@
         }
     }
 
-    // The module.
+    // Decision module.
 
-    /// Tells the module of an event, does what it says, and goes on with what follows from that.
+    /// Passes an event to the decision module, carries out its actions, and handles the events that result.
     fn dispatch_event(&mut self, event: Event) {
         self.events.push_back(event);
         self.process_queued_events();
@@ -324,7 +331,8 @@
             Action::CloseIdle(server) => self.pool.close_idle(server),
             Action::Log(line) => log(&line),
             Action::Fault(line) => log(&format!("fault: {line}")),
-            // This module neither probes nor speaks to peers; the sockets for it are not built.
+            // The decision module neither probes servers nor messages peers; the node does not implement
+            // either.
             Action::Probe(server) => {
                 let (elapsed, load) = (0, LoadReport::default());
                 self.events.push_back(Event::Probed { server, healthy: false, elapsed, load });
@@ -340,7 +348,7 @@
             client_request;
         let id = self.next_request_id;
         self.next_request_id += 1;
-        // What the request waited within the node is part of its time.
+        // Time that the request has already spent inside the node counts towards its deadline.
         let deadline = received_at + command.time_left;
         let request = Request {
             id,
@@ -372,18 +380,19 @@
         self.dispatch_event(Event::Request(request));
     }
 
-    /// Gives the final answer, the first only.
+    /// Sends the final answer of a request; does nothing if it already has one.
     fn send_answer(&mut self, id: RequestId, answer: Bytes) {
         let Some(open_request) = self.open_requests.get(&id).filter(|open_request| !open_request.finished)
         else {
             return;
         };
-        // Forced by memory: an answer that there is no room for is not passed on, and tells as much.
+        // Limit on memory: an answer that exceeds the free budget is replaced by an error.
         let (bytes, reservation) = match self.memory.try_reserve(answer.len()) {
             Some(reservation) => (answer, Some(reservation)),
             None => (Bytes::from_static(b"-ERR failed\r\n"), None),
         };
-        // There is room for every answer that a connection is owed; one that has ended takes none.
+        // The channel has room for every answer that its connection awaits. Sending fails only if the
+        // connection has ended, and then nobody awaits the answer.
         let _ = open_request.reply_sender.try_send(ClientReply {
             reply_index: open_request.reply_index,
             bytes,
@@ -392,7 +401,8 @@
         self.finish_request(id);
     }
 
-    /// Nothing is owed to a client any more.
+    /// Finishes all requests of a client that has disconnected, and queues the decision module's events for
+    /// them.
     fn finish_client_requests(&mut self, client: ClientId) {
         let unfinished_id = |(id, open_request): (&RequestId, &OpenRequest)| {
             (open_request.client == client && !open_request.finished).then_some(*id)
@@ -404,7 +414,8 @@
         }
     }
 
-    /// Nothing is owed for a request any more. Attempts that are out keep its entry until they end.
+    /// Marks a request as finished: no answer is awaited any more. Its entry stays until its attempts in
+    /// flight have ended.
     fn finish_request(&mut self, id: RequestId) {
         let Some(open_request) = self.open_requests.get_mut(&id) else { return };
         open_request.finished = true;
@@ -434,7 +445,7 @@
         };
         let connection = match self.pool.reuse(server, attempt_id, now) {
             Some(conn_id) => Some((conn_id, true)),
-            // A connection costs its server work: none is opened for a client that has gone.
+            // A new connection costs its server work, so none is opened for a disconnected client.
             None if open_request.liveness.disconnected() => {
                 let client = open_request.client;
                 self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
@@ -443,7 +454,7 @@
             None => self.pool.connect(server, address, protocol, attempt_id).map(|conn_id| (conn_id, false)),
         };
         let Some((conn_id, already_connected)) = connection else {
-            // Forced by the limit on sockets: there is no connection to send this on.
+            // Limit on sockets: no connection slot is free for this attempt.
             self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
             return self.end_attempt(attempt_id, Status::NotSent);
         };
@@ -454,12 +465,13 @@
         }
     }
 
-    /// Hands an attempt to its connection, which is up.
+    /// Passes the request of an attempt to its established connection.
     fn write_attempt(&mut self, attempt_id: AttemptId, conn_id: ConnId) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
-        // Against a send after a drain or an end: between the module's word and the first byte the attempt
-        // waited for its connection, and meanwhile its server may have left or its client gone.
+        // The attempt may have waited for its connection since the decision to send it. Without this check,
+        // it could be sent to a server that has begun to drain or left, or for a client that has
+        // disconnected.
         let server = self.servers.ready(attempt.server);
         let open_request = self
             .open_requests
@@ -471,7 +483,7 @@
             {
                 let id = String::from_utf8_lossy(&open_request.command.id);
                 log(&format!(
-                    "request {id}: attempt {} not written, its server takes no new work",
+                    "request {id}: attempt {} not sent, its server no longer accepts requests",
                     attempt_id.1
                 ));
             }
@@ -479,7 +491,7 @@
             self.pool.release(conn_id, address, now);
             return self.end_attempt(attempt_id, Status::NotSent);
         };
-        // While the connection came up its server may have been listed at another address.
+        // The address of the server may have changed in the list while the connection was being established.
         if self.pool.address(conn_id) != Some(server.address) {
             if !self.reconnect(attempt_id, conn_id) {
                 self.end_attempt(attempt_id, Status::ConnectFailed);
@@ -499,7 +511,7 @@
     }
 
     fn handle_connection_event(&mut self, conn_id: ConnId, event: ConnEvent) {
-        // What comes from a connection that was given up is late, and of no more interest.
+        // A connection that is idle or was closed has no attempt. Of its events, only a failure matters.
         let attempt_id = self.pool.attempt(conn_id);
         match (event, attempt_id) {
             (ConnEvent::Connected, Some(attempt_id)) => self.write_attempt(attempt_id, conn_id),
@@ -538,36 +550,39 @@
         self.process_queued_events();
     }
 
-    /// The server of an attempt has answered something.
+    /// Records that the server of an attempt has answered, whatever the answer.
     fn record_server_answer(&mut self, attempt_id: AttemptId) {
         if let Some(attempt) = self.attempts.get(&attempt_id) {
             self.servers.record_answer(attempt.server, self.clock.now());
         }
     }
 
-    /// An attempt was not sent since its client has gone.
+    /// Ends an attempt that was not sent because its client has disconnected.
     fn abort_unsent_attempt(&mut self, attempt_id: AttemptId, client: ClientId) {
         self.finish_request(attempt_id.0);
         self.end_attempt(attempt_id, Status::NotSent);
         self.finish_client_requests(client);
     }
 
-    /// A connection is lost that an attempt was on or waited for.
+    /// Handles the loss of a connection that carried an attempt or was being opened for it. `written` is
+    /// whether the last byte of the request may have been written.
     fn handle_connection_loss(&mut self, attempt_id: AttemptId, conn_id: ConnId, written: bool) {
         let reused_unwritten = !written && self.pool.request_count(conn_id) > 1;
         if written {
             self.pool.close(conn_id);
             return self.end_attempt(attempt_id, Status::Reset);
         }
-        // A kept connection that had ended unseen: the last byte was not written, so nothing was sent, and
-        // the same attempt may have a fresh connection. Only once: a fresh one has carried nothing.
+        // The server may have closed a reused connection unnoticed. The last byte of the request was not
+        // written, so it was not executed, and the attempt may use a new connection. This happens only once,
+        // because the new connection has not carried any earlier request.
         if !(reused_unwritten && self.reconnect(attempt_id, conn_id)) {
             self.pool.close(conn_id);
             self.end_attempt(attempt_id, Status::ConnectFailed);
         }
     }
 
-    /// Opens a fresh connection in place of one on which nothing was sent; `false` where there is none to be had.
+    /// Replaces a connection on which no whole request was sent by a new one; returns `false` if none can be
+    /// opened.
     fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
         self.pool.close(conn_id);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return false };
@@ -580,12 +595,13 @@
         true
     }
 
-    /// Stops waiting for an attempt, by closing its connection.
+    /// Stops waiting for an attempt and closes its connection.
     fn abandon_attempt(&mut self, attempt_id: AttemptId, status: Status) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         self.pool.close(attempt.conn_id);
-        // Against a machine that vanished: its kept connections stay open and silent, and each would cost
-        // a request its whole time. A fresh one tells within the time-out of a connect.
+        // The server has not answered anything since this attempt was sent. If its machine has vanished, its
+        // idle connections stay open without ever answering, and each would cost a request its whole
+        // time-out. A new connection reveals the failure within the connect time-out.
         if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
             self.pool.close_idle(attempt.server);
         }
@@ -605,7 +621,8 @@
         );
     }
 
-    /// An attempt has its outcome: the first that serves answers the client, and the module is told.
+    /// Ends an attempt with its outcome: the first success answers the client, and an event for the decision
+    /// module is queued.
     fn end_attempt_with_reply(&mut self, attempt_id: AttemptId, reply: ServerReply) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else { return };
         let Some(open_request) = self.open_requests.get_mut(&attempt_id.0) else { return };
--- a/src/bin/pondproxy-node/event_loop/server_lists.rs
+++ b/src/bin/pondproxy-node/event_loop/server_lists.rs
@@ -1,4 +1,5 @@
-//! What the event loop does with news of calls to discovery: which lists are in force, and what is taken from the others.
+//! The part of the event loop that handles events of calls to discovery: which list comes into force, and
+//! what is applied of the other lists.
 
 use pondproxy::{Event, ListKind, Micros};
 
@@ -8,7 +9,7 @@
 use crate::server_table::ListChanges;
 
 impl Node {
-    /// News of a call to discovery.
+    /// Handles an event of a call to discovery.
     pub(super) fn handle_discovery_event(&mut self, call_id: CallId, event: CallEvent) {
         let call_status = self.discovery.call_status(call_id);
         match (call_status, event) {
@@ -16,7 +17,8 @@
             (CallStatus::Current, CallEvent::Synchronized) => self.discovery.close_superseded(),
             (CallStatus::Current, CallEvent::Failed { failure, since_last_contact }) => {
                 self.discovery.call_ended(call_id);
-                // Where discovery has moved, the former one ends its watches, and the next call is to be made soon.
+                // After a move, the discovery at the former address ends its watches. That is not a failure,
+                // and a call to the new address follows soon.
                 if !self.discovery.move_pending() {
                     self.dispatch_event(Event::DiscoveryFailed {
                         failure,
@@ -29,13 +31,14 @@
                 self.apply_withdrawn_servers(&update)
             }
             (CallStatus::Superseded, CallEvent::Failed { .. }) => self.discovery.call_ended(call_id),
-            // The view of a discovery whose successor has answered is no longer in force.
+            // The lists of a call are no longer in force once the call that replaces it has been answered.
             (CallStatus::Superseded, CallEvent::Synchronized) | (CallStatus::Ended, _) => {}
         }
     }
 
-    /// A list that was cut off, or of a call that another is to replace. It is not the list in force, but what it
-    /// has told of servers that drain or are gone counts as notified.
+    /// Applies only the withdrawals of a list that was truncated or that a superseded call received. Such a
+    /// list does not come into force, but the node counts as notified of the servers that it lists as
+    /// draining or removed.
     fn apply_withdrawn_servers(&mut self, update: &ListUpdate) {
         let changes = self.servers.apply_withdrawals(update, self.clock.now());
         if !changes.entries.is_empty() {
@@ -43,18 +46,20 @@
         }
     }
 
-    /// A list or a change of it comes into force.
+    /// Puts a list or a change of the list into force; without a `kind`, the update itself states which it
+    /// is.
     pub(super) fn apply_list(&mut self, update: ListUpdate, kind: Option<ListKind>) {
         let kind = kind.unwrap_or(if update.snapshot { ListKind::Full } else { ListKind::Delta });
         if kind == ListKind::Delta && update.index < self.discovery.index() {
-            return; // Older than the list held.
+            return; // Older than the list in force.
         }
         self.discovery.set_index(update.index);
         let changes = self.servers.apply(kind, &update.endpoints, self.clock.now());
         self.apply_changes(kind, update.index, changes);
     }
 
-    /// What a list has changed takes effect.
+    /// Applies the changes that a list made: logs them, closes idle connections and notifies the decision
+    /// module.
     fn apply_changes(&mut self, kind: ListKind, index: u64, changes: ListChanges) {
         let summary = changes.summary();
         if !summary.is_empty() {
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -1,37 +1,36 @@
-//! What the node needs of HTTP/1.1 as a client: the head of an answer and chunked bodies.
+//! The parts of HTTP/1.1 that the node needs as a client: parsing of response heads and of chunked bodies.
 
 use bytes::{Buf, BytesMut};
 
-/// An answer that can't be understood.
+/// The response violates HTTP/1.1 or exceeds a limit.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedResponse;
 
-/// The longest head, and the longest line that states a chunk's size.
+/// Maximum length of a response head, and of a line with the size of a chunk.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 48;
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Its bytes.
+    /// Length of the head in bytes.
     pub length: usize,
-    /// Its status code.
     pub status: u16,
-    /// The stated length of the body.
+    /// Length of the body, if stated.
     pub content_length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body is chunked.
     pub chunked: bool,
-    /// Whether the connection ends after this answer.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// Whether the server says that it did not run the request (`X-Unprocessed: 1`).
+    /// Whether the server states that it did not execute the request (`X-Unprocessed: 1`).
     pub unprocessed: bool,
-    /// The load report (`X-Backend-Load`).
+    /// Load report (`X-Backend-Load`).
     pub load: Option<String>,
-    /// How a read went (`X-Lookup`).
+    /// Result of the cache lookup (`X-Lookup`).
     pub lookup: Option<String>,
 }
 
-/// Reads a head at the front of a buffer; `None` while it is not all there.
+/// Parses the response head at the start of `buffer`; returns `None` while the head is incomplete.
 pub fn head(buffer: &[u8]) -> Result<Option<ResponseHead>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -47,7 +46,8 @@
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                // Against lengths that two readers would read differently: signs, and two that differ.
+                // Rejects a length with a sign and two different lengths: implementations disagree on their
+                // meaning.
                 let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
                 let length = value.parse().ok().filter(|_| digits).ok_or(MalformedResponse)?;
                 if head.content_length.is_some_and(|earlier| earlier != length) {
@@ -72,17 +72,17 @@
     Ok(Some(head))
 }
 
-/// Takes chunks apart as they come.
+/// Decodes a chunked body as its bytes arrive.
 #[derive(Default)]
 pub struct ChunkedDecoder {
     chunk_remaining: usize,
-    /// The line end after a chunk's content is still to come.
+    /// Whether the line end after the content of a chunk is still to come.
     chunk_end_pending: bool,
     finished: bool,
 }
 
 impl ChunkedDecoder {
-    /// Moves what is there of the body's content from one buffer to the other; `true` at the body's end.
+    /// Moves available content of the body from `input` to `output`; returns whether the body is complete.
     pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, MalformedResponse> {
         while !self.finished {
             if self.chunk_remaining > 0 {
@@ -109,7 +109,7 @@
                 Ok(httparse::Status::Complete((length, size))) => {
                     input.advance(length);
                     self.chunk_remaining = usize::try_from(size).map_err(|_| MalformedResponse)?;
-                    // Trailers are not read: what follows the last chunk ends the use of the connection.
+                    // Trailers are not parsed, so the connection cannot be reused after the last chunk.
                     self.finished = size == 0;
                 }
                 Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(false),
@@ -135,7 +135,7 @@
                 input.extend_from_slice(part);
                 finished = chunks.decode(&mut input, &mut output).unwrap();
             }
-            assert!(finished && &output[..] == b"hello!", "in steps of {part_size}: {output:?}");
+            assert!(finished && &output[..] == b"hello!", "in parts of {part_size} bytes: {output:?}");
         }
         let mut bad = BytesMut::from("zz\r\n");
         assert_eq!(ChunkedDecoder::default().decode(&mut bad, &mut BytesMut::new()), Err(MalformedResponse));
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -1,5 +1,5 @@
-//! One node: clients on one side, cache servers, the origin and discovery on the other, the decision module
-//! between them.
+//! The node: accepts requests of clients, sends them to cache servers and the origin as the decision module
+//! directs, and obtains the server list from discovery.
 
 mod cache_protocol;
 mod client_sessions;
@@ -32,12 +32,12 @@
 use event_loop::{Clock, Node, NodeEvent};
 use memory_budget::MemoryBudget;
 
-/// What waits between the connections and the node's loop.
+/// Capacity of the channel from the connections and calls to the event loop.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Requests taken and not yet answered.
+/// Maximum number of accepted requests that are not answered yet.
 const MAX_OPEN_REQUESTS: usize = 1024;
 
-/// Writes a line to the log; a log that can't be written to is no reason to stop.
+/// Writes a line to standard error. A failed write is ignored, because it is no reason to stop the node.
 pub fn log(line: &str) {
     let _ = writeln!(std::io::stderr(), "pondproxy-node: {line}");
 }
@@ -54,7 +54,7 @@
     let deployment = Arc::new(config.deployment.clone());
     let settings = &deployment.settings;
     log(&format!(
-        "{} balancers, discovery to be asked within {} ms, grace of a drain {} ms",
+        "{} balancers, notified of server changes within {} ms, drain grace time {} ms",
         settings.balancer_count,
         settings.notified_after / 1_000,
         settings.drain_grace_time / 1_000,
--- a/src/bin/pondproxy-node/memory_budget.rs
+++ b/src/bin/pondproxy-node/memory_budget.rs
@@ -1,35 +1,35 @@
-//! One budget of memory for all that clients and servers can make a node hold: commands, their values, and
-//! answers on their way.
+//! A budget for the memory that clients and servers can make a node hold: commands, their values, and answers
+//! in transit.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The program itself, its tables and what the runtime and each connection take.
+/// Memory for the program itself, its tables, the runtime and the connections; not part of the budget.
 const BASELINE_MB: usize = 12;
-/// A byte that is accounted for may cost this many: buffers grow by doubling and leave gaps behind.
+/// Bytes of real memory that a reserved byte may cost: buffers grow by doubling, and the heap fragments.
 const BUFFER_OVERHEAD_FACTOR: usize = 2;
-/// The unit of the account.
+/// Unit in which the budget is counted.
 const UNIT_BYTES: usize = 1024;
-/// What clients send ahead may take this part: the rest is left to requests that are taken.
+/// Pipelined input may use the budget divided by this; the rest is left to accepted requests.
 const PIPELINED_DIVISOR: usize = 4;
 
-/// The budget.
+/// A budget that can be shared by cloning.
 #[derive(Clone)]
 pub struct MemoryBudget {
     available: Arc<Semaphore>,
-    /// What of it may still go to what was sent ahead.
+    /// The part of the budget that pipelined input may still reserve.
     pipelined_available: Arc<Semaphore>,
     total_units: u32,
 }
 
-/// A part of the budget, given back when dropped.
+/// A reserved part of the budget, released when dropped.
 #[derive(Debug)]
 #[expect(dead_code, reason = "held for its drop")]
 pub struct MemoryReservation(OwnedSemaphorePermit, Option<OwnedSemaphorePermit>);
 
 impl MemoryBudget {
-    /// The budget of a node that may have so many megabytes in all.
+    /// Returns the budget of a node whose whole process may use `memory_mb` megabytes.
     pub fn new(memory_mb: usize) -> MemoryBudget {
         let total_units = (memory_mb.saturating_sub(BASELINE_MB).max(4) * 1024 * 1024
             / BUFFER_OVERHEAD_FACTOR
@@ -42,34 +42,34 @@
         MemoryBudget { available, pipelined_available, total_units: total_units as u32 }
     }
 
-    /// The whole of it, in bytes.
+    /// Returns the size of the whole budget in bytes.
     pub fn total_bytes(&self) -> usize {
         self.total_units as usize * UNIT_BYTES
     }
 
     fn units_for(&self, bytes: usize) -> u32 {
-        // More than all there is would be waited for in vain.
+        // Capped at the whole budget: a larger reservation would never be granted.
         bytes.div_ceil(UNIT_BYTES).min(self.total_units as usize) as u32
     }
 
-    /// A part for some bytes, if it is free.
+    /// Reserves `bytes` if they are available.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let available = self.available.clone().try_acquire_many_owned(self.units_for(bytes)).ok()?;
         Some(MemoryReservation(available, None))
     }
 
-    /// A part for some bytes that were sent ahead, if it is free.
+    /// Reserves `bytes` for pipelined input if they are available.
     pub fn try_reserve_pipelined(&self, bytes: usize) -> Option<MemoryReservation> {
         let pipelined_available =
             self.pipelined_available.clone().try_acquire_many_owned(self.units_for(bytes)).ok()?;
         Some(MemoryReservation(self.try_reserve(bytes)?.0, Some(pipelined_available)))
     }
 
-    /// A part for some bytes, once it is free.
+    /// Reserves `bytes`, waiting until they are available.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         match self.available.clone().acquire_many_owned(self.units_for(bytes)).await {
             Ok(permit) => MemoryReservation(permit, None),
-            Err(_) => std::future::pending().await, // It is never closed.
+            Err(_) => std::future::pending().await, // The semaphore is never closed.
         }
     }
 }
--- a/src/bin/pondproxy-node/reload.rs
+++ b/src/bin/pondproxy-node/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again at each SIGHUP. Knows nothing of what it says.
+//! Reads the configuration again at each SIGHUP. Does not interpret its contents.
 
 use std::time::Duration;
 
@@ -10,13 +10,15 @@
 use crate::event_loop::NodeEvent;
 use crate::log;
 
-/// A configuration that can't be used is read again after this long: it may be about to be replaced, or there may have
-/// been no descriptor to read it with.
+/// Interval between reads of an unusable configuration: the file may be about to be replaced, or there may
+/// have been no free descriptor to read it with.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// It is read so many times at the most, which is well within the 4 s after which a move of discovery counts.
+/// Maximum number of reads after a SIGHUP: 2 s in all, well within the 4 s after which the node counts as
+/// notified of a move of discovery.
 const MAX_READS: u32 = 20;
 
-/// Passes each new configuration on, for as long as there are signals. An old one stays in force until then.
+/// Sends each new configuration to the event loop. The old one stays in force until a usable one has been
+/// read.
 pub async fn reload_on_sighup(mut signals: Signal, event_sender: mpsc::Sender<NodeEvent>) {
     while signals.recv().await.is_some() {
         if let Some(config) = read_until_usable(&mut signals).await {
@@ -25,7 +27,7 @@
     }
 }
 
-/// Reads the configuration until it can be used. A further signal begins the count anew.
+/// Reads the configuration until it is usable or `MAX_READS` is reached. A further signal restarts the count.
 async fn read_until_usable(signals: &mut Signal) -> Option<NodeConfig> {
     let mut read_count = 0;
     while read_count < MAX_READS {
@@ -39,6 +41,6 @@
             read_count = 0;
         }
     }
-    log("reload: given up");
+    log("reload: configuration still unusable, not read again until the next SIGHUP");
     None
 }
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -1,52 +1,52 @@
-//! RESP2, both directions. Written here since the decoders at hand recurse without a bound on depth and
-//! take any stated length: what a peer sends must neither overflow the stack nor reserve memory.
+//! Parsing and encoding of RESP2. Implemented here because the available decoders recurse without a limit on
+//! depth and accept any stated length: input from a peer must neither overflow the stack nor cause memory to
+//! be reserved.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The longest value that clients send.
+/// Maximum size of a value in a command of a client.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Words in a command, and elements in an answer, at most.
+/// Maximum number of arguments in a command, and of elements in an array of a reply.
 const MAX_ELEMENTS: usize = 16;
-/// The longest line that states a length.
+/// Maximum size of a line that states a length.
 const MAX_LENGTH_LINE_BYTES: usize = 24;
-/// The longest plain or error line of an answer.
+/// Maximum size of a simple string, error or integer in a reply.
 const MAX_LINE_BYTES: usize = 4096;
-/// How deep arrays of an answer may be nested.
+/// Maximum nesting depth of arrays in a reply.
 const MAX_DEPTH: u8 = 3;
 
-/// Input that can't be understood: from here on its framing is lost.
+/// The input violates the protocol or a limit. Its framing is lost from here on.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct ProtocolError(pub &'static str);
 
 const UNTERMINATED_BULK: ProtocolError = ProtocolError("bulk string not ended");
 const NULL_IN_COMMAND: ProtocolError = ProtocolError("null in a command");
 
-/// An answer of a cache server.
+/// A reply of a cache server.
 #[derive(Debug, PartialEq, Clone)]
 pub enum Value {
     /// A bulk string, or null.
     Bulk(Option<Bytes>),
-    /// An array; null counts as empty.
+    /// An array; a null array is parsed as an empty one.
     Array(Vec<Value>),
-    /// A plain line.
     SimpleString(Bytes),
-    /// An error line.
     Error(Bytes),
-    /// A number.
     Integer(i64),
 }
 
-/// Takes one whole command, an array of bulk strings, off the front; `None` while it is not all there.
+/// Removes one command, an array of bulk strings, from the front of `buffer`; returns `None` while it is
+/// incomplete.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ProtocolError> {
     let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: MAX_VALUE_BYTES };
     let Some(arguments) = parser.read_command()? else { return Ok(None) };
     let end = parser.position;
-    // Each word is a copy of its own: together they would hold the whole buffer for as long as one lives.
+    // Each argument is copied: slices of the buffer would keep all of it allocated while any of them lives.
     let command = buffer.split_to(end);
     Ok(Some(arguments.into_iter().map(|(from, to)| Bytes::copy_from_slice(&command[from..to])).collect()))
 }
 
-/// Takes one whole answer off the front, no string in it longer than a limit; `None` while it is not all there.
+/// Removes one reply from the front of `buffer`, with bulk strings of at most `max_bulk_bytes`; returns
+/// `None` while it is incomplete.
 pub fn take_value(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Value>, ProtocolError> {
     let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes };
     let Some(value) = parser.read_value(0)? else { return Ok(None) };
@@ -55,7 +55,8 @@
     Ok(Some(value))
 }
 
-/// The length that an answer states for its value, once it has.
+/// Returns the length that a reply states for its value, the first element of the array; `None` if that has
+/// not arrived or is malformed.
 pub fn declared_length(buffer: &[u8]) -> Option<usize> {
     let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: usize::MAX };
     parser.read_length(b'*', MAX_ELEMENTS).ok()??;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A line of a mark and a length; `None` inside stands for a null.
+    /// Reads a line of a type byte and a length. The outer `None` means incomplete, the inner `None` a null.
     fn read_length(
         &mut self,
         type_byte: u8,
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Bounds of the content of a bulk string.
+    /// Reads a bulk string and returns the bounds of its content. The outer `None` means incomplete, the
+    /// inner `None` a null.
     fn read_bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
         let length = match self.read_length(b'$', self.max_bulk_bytes)? {
             None => return Ok(None),
@@ -123,10 +125,11 @@
         Ok(Some(Some((from, to))))
     }
 
-    /// How many words a command has.
+    /// Reads the number of arguments of a command; returns `None` while it is incomplete.
     fn read_argument_count(&mut self) -> Result<Option<usize>, ProtocolError> {
         match self.read_length(b'*', MAX_ELEMENTS)? {
-            // Against floods of commands that say nothing and are cheap to send.
+            // Rejected because empty commands have no effect and are cheap to send: this prevents floods of
+            // them.
             Some(None | Some(0)) => Err(ProtocolError("empty command")),
             count => Ok(count.flatten()),
         }
@@ -178,26 +181,26 @@
     }
 }
 
-/// Passes over commands without keeping them, in whatever pieces they come.
+/// Skips commands without keeping them; the input may be split anywhere.
 #[derive(Default)]
 pub struct CommandSkipper {
-    /// What there is of a line that states a length.
+    /// The part of a line with a length that has arrived so far.
     length_line: Vec<u8>,
-    /// Words that the present command still has.
+    /// Arguments of the present command that have not been skipped yet.
     remaining_arguments: usize,
-    /// Bytes that the present word still has, the end of its line included.
+    /// Bytes of the present argument that have not been skipped yet, its line end included.
     remaining_bytes: usize,
-    /// Commands that were whole.
+    /// Number of complete commands that were skipped.
     pub skipped_commands: u64,
 }
 
 impl CommandSkipper {
-    /// Whether a command has begun that is not whole.
+    /// Whether a command has begun and is incomplete.
     pub fn has_partial_command(&self) -> bool {
         self.remaining_arguments > 0 || !self.length_line.is_empty()
     }
 
-    /// Passes over a piece; tells where in it the last command ended.
+    /// Skips a piece of input; returns the position in it where the last command ended, or 0.
     pub fn skip(&mut self, piece: &[u8]) -> Result<usize, ProtocolError> {
         let (mut position, mut command_end) = (0, 0);
         while position < piece.len() {
@@ -224,7 +227,8 @@
         Ok(command_end)
     }
 
-    /// Reads a line that states a length, which may have begun before; tells how many bytes are done with.
+    /// Reads a line with a length, which may have begun in an earlier piece; returns the number of bytes
+    /// consumed.
     fn read_length_line(&mut self, input: &[u8]) -> Result<usize, ProtocolError> {
         let earlier_bytes = self.length_line.len();
         self.length_line
@@ -245,14 +249,14 @@
     }
 }
 
-/// Adds a bulk string.
+/// Appends a bulk string to `output`.
 pub fn put_bulk(output: &mut BytesMut, value: &[u8]) {
     output.put_slice(format!("${}\r\n", value.len()).as_bytes());
     output.put_slice(value);
     output.put_slice(b"\r\n");
 }
 
-/// A command of some words.
+/// Encodes a command as an array of bulk strings.
 pub fn encode_command(arguments: &[&[u8]]) -> Bytes {
     let size = arguments.iter().map(|argument| argument.len() + 16).sum::<usize>() + 16;
     let mut output = BytesMut::with_capacity(size);
--- a/src/bin/pondproxy-node/resp/tests.rs
+++ b/src/bin/pondproxy-node/resp/tests.rs
@@ -1,4 +1,4 @@
-//! What is read and what is malformed.
+//! Tests of the RESP2 parser.
 
 use super::*;
 
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -1,6 +1,6 @@
-//! The servers that discovery lists: where each is, what is spoken with it, and whether it takes new work. Owns
-//! the translation of discovery's entries into the lines of the decision module. Knows nothing of connections,
-//! nor of the calls that brought the entries.
+//! The servers that discovery lists: the address and protocol of each, and whether it accepts new requests.
+//! Owns the conversion of discovery's entries to server entries of the decision module. Knows nothing of
+//! connections, nor of the calls that received the entries.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,38 +13,35 @@
 use crate::discovery::{Endpoint, ListUpdate};
 use crate::upstream_pool::Protocol;
 
-/// A line of the log names so many servers at most.
+/// Further servers in the same log line are only counted.
 const MAX_SERVERS_PER_LOG_LINE: usize = 8;
 
 /// A listed server.
 pub struct Server {
     name: Box<str>,
-    /// Where it is.
     pub address: SocketAddr,
-    /// What is spoken with it.
     pub protocol: Protocol,
-    /// How the decision module knows it.
+    /// The entry that was passed to the decision module.
     entry: ServerEntry,
-    /// When it last answered anything.
+    /// Time of the last answer of any kind; 0 if there was none.
     pub last_answer_at: Micros,
 }
 
-/// What a list has changed.
+/// Changes that a list has made.
 #[derive(Default)]
 pub struct ListChanges {
-    /// The list for the decision module.
+    /// Entries for the decision module.
     pub entries: Vec<ServerEntry>,
-    /// Servers to which no idle connection is of use any more.
+    /// Servers whose idle connections are no longer of use.
     pub close_idle: Vec<ServerId>,
-    /// What became of servers, by name.
+    /// Names of the servers that changed, with what changed.
     transitions: Vec<(Box<str>, ServerTransition)>,
 }
 
-/// What became of a server.
+/// A change of a server.
 enum ServerTransition {
-    /// It is in another condition than before.
     StateChanged(ServerState),
-    /// It is at another address than before.
+    /// The address changed.
     Moved(SocketAddr),
 }
 
@@ -60,7 +57,7 @@
 }
 
 impl ListChanges {
-    /// What became of servers in words, for the log; nothing where nothing did.
+    /// Describes the changes of servers for the log; empty if there are none.
     pub fn summary(&self) -> String {
         let named = self.transitions.iter().take(MAX_SERVERS_PER_LOG_LINE);
         let mut parts: Vec<_> = named.map(|(name, transition)| format!("{name} {transition}")).collect();
@@ -72,41 +69,41 @@
     }
 }
 
-/// All servers of the list in force.
+/// The servers of the list in force.
 pub struct ServerTable {
     deployment: Arc<Deployment>,
     servers: HashMap<ServerId, Server>,
 }
 
 impl ServerTable {
-    /// A table that knows no server yet.
+    /// Returns an empty table.
     pub fn new(deployment: Arc<Deployment>) -> Self {
         ServerTable { deployment, servers: HashMap::new() }
     }
 
-    /// A server, if it is listed.
+    /// Returns a server if it is listed.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// A server that takes new work.
+    /// Returns a server if it accepts new requests.
     pub fn ready(&self, id: ServerId) -> Option<&Server> {
         self.get(id).filter(|server| server.entry.state == ServerState::Ready)
     }
 
-    /// Whether any server takes new work.
+    /// Whether any server accepts new requests.
     pub fn any_ready(&self) -> bool {
         self.servers.values().any(|server| server.entry.state == ServerState::Ready)
     }
 
-    /// A server has answered something.
+    /// Records that a server has answered.
     pub fn record_answer(&mut self, id: ServerId, now: Micros) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.last_answer_at = now;
         }
     }
 
-    /// Takes over a list or a change of it.
+    /// Applies a list or a change of the list.
     pub fn apply(&mut self, kind: ListKind, endpoints: &[Endpoint], now: Micros) -> ListChanges {
         let mut changes = ListChanges::default();
         for endpoint in endpoints {
@@ -119,7 +116,7 @@
         changes
     }
 
-    /// Takes over only which of the servers take no new work any more, by a list or a change of it.
+    /// Applies only the entries by which ready servers stop accepting new requests, and removals.
     pub fn apply_withdrawals(&mut self, update: &ListUpdate, now: Micros) -> ListChanges {
         let mut changes = ListChanges::default();
         for endpoint in &update.endpoints {
@@ -134,7 +131,8 @@
         changes
     }
 
-    /// Whether an entry tells of a ready server that it takes no new work, and not of an earlier process of it.
+    /// Whether an entry states that a ready server no longer accepts requests, and is not about an earlier
+    /// process of that server.
     fn withdraws_server(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let id = server_id(endpoint);
         let entry = self.server_entry(id, endpoint, now);
@@ -152,7 +150,8 @@
     fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Micros, changes: &mut ListChanges) {
         let id = server_id(endpoint);
         let previous = self.servers.get(&id);
-        // An address that can't be read must not keep the rest of the entry from taking effect.
+        // If the address cannot be parsed, the previous one is kept and the rest of the entry still takes
+        // effect.
         let Some(address) = endpoint.address.parse().ok().or(previous.map(|server| server.address)) else {
             return;
         };
@@ -186,7 +185,8 @@
             machine_type: index_of(&self.deployment.machine_types, &endpoint.machine_type)
                 .unwrap_or(usize::from(u16::MAX)) as u16,
             weight: endpoint.weight,
-            // In the module's clock, which is Unix time here; 0 stays 0, and nothing starts in the future.
+            // In microseconds of the node's clock, which shows Unix time. 0 stays 0; a time in the future
+            // becomes now.
             started_at: match endpoint.since_ms {
                 0 => 0,
                 since_ms => since_ms.saturating_mul(1_000).min(now),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A server that a whole list does not name has been removed.
+    /// Marks servers that a complete list does not contain as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint], changes: &mut ListChanges) {
         let listed: HashSet<_> = endpoints.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
