--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -110,11 +110,11 @@
         for separator in [",", " ,\n  "] {
             let entries = ["a", "b", "c"].map(entry).join(separator);
             let list = format!("{{\"index\":7, \"endpoints\" : [ {entries} ]}}");
-            let ends: Vec<_> = list.match_indices('}').map(|(at, _)| at).take(3).collect();
+            let entry_ends: Vec<_> = list.match_indices('}').map(|(at, _)| at).take(3).collect();
             for cut in 0..list.len() {
                 let names: Vec<_> =
                     whole_entries(&list.as_bytes()[..cut]).into_iter().map(|e| e.name).collect();
-                let complete = ends.iter().filter(|end| **end < cut).count();
+                let complete = entry_ends.iter().filter(|end| **end < cut).count();
                 assert_eq!(names, ["a", "b", "c"][..complete], "{}", &list[..cut]);
             }
         }
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -243,7 +243,8 @@
             NodeEvent::Reload(config) => self.reload(&config),
             NodeEvent::Terminate if self.drain_deadline.is_none() => {
                 let now = self.clock.now();
-                let longest_deadline = self.deployment.settings.classes.iter().map(|c| c.deadline).max();
+                let longest_deadline =
+                    self.deployment.settings.classes.iter().map(|class| class.deadline).max();
                 self.drain_deadline = Some(now + longest_deadline.unwrap_or(0) + DRAIN_MARGIN_US);
                 self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US, NodeTimer::BeginDrain)));
                 self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US + 20_000, NodeTimer::DrainCheck)));
@@ -439,7 +440,7 @@
         let timeout_at =
             if timeout == 0 { open_request.deadline } else { open_request.deadline.min(now + timeout) };
         let target = self.servers.get(server).filter(|_| may_send);
-        let Some((address, protocol)) = target.map(|s| (s.address, s.protocol)) else {
+        let Some((address, protocol)) = target.map(|server| (server.address, server.protocol)) else {
             self.attempts.insert(attempt_id, Attempt { server, sent_at: now, conn_id: 0 });
             return self.end_attempt(attempt_id, Status::NotSent);
         };
@@ -487,7 +488,7 @@
                     attempt_id.1
                 ));
             }
-            let address = self.servers.get(attempt.server).map(|s| s.address);
+            let address = self.servers.get(attempt.server).map(|server| server.address);
             self.pool.release(conn_id, address, now);
             return self.end_attempt(attempt_id, Status::NotSent);
         };
@@ -518,7 +519,7 @@
             (ConnEvent::NotSent, Some(attempt_id)) => {
                 let server =
                     self.attempts.get(&attempt_id).and_then(|attempt| self.servers.get(attempt.server));
-                self.pool.release(conn_id, server.map(|s| s.address), self.clock.now());
+                self.pool.release(conn_id, server.map(|server| server.address), self.clock.now());
                 if let Some(client) =
                     self.open_requests.get(&attempt_id.0).map(|open_request| open_request.client)
                 {
--- a/src/bin/pondproxy-node/resp/tests.rs
+++ b/src/bin/pondproxy-node/resp/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn a_command_is_taken_only_once_it_is_complete() {
-    let whole = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
-    for cut in 0..whole.len() {
-        let mut part = BytesMut::from(&whole[..cut]);
+    let command = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
+    for cut in 0..command.len() {
+        let mut part = BytesMut::from(&command[..cut]);
         assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
         assert_eq!(part.len(), cut);
     }
-    let mut twice = BytesMut::from(&[&whole[..], &whole[..]].concat()[..]);
+    let mut twice = BytesMut::from(&[&command[..], &command[..]].concat()[..]);
     for _ in 0..2 {
         let arguments = take_command(&mut twice).unwrap().unwrap();
         assert_eq!(arguments, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
