--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -36,7 +36,7 @@
     Unreachable(std::io::Error),
     /// The connection failed.
     Io(std::io::Error),
-    /// Discovery sent nothing for too long.
+    /// The response head, or the next list or empty line, did not arrive in time.
     TimedOut,
     /// Discovery rejected the call with this HTTP status.
     Status(u16),
@@ -49,9 +49,9 @@
 impl std::fmt::Display for CallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            CallError::Unreachable(e) => write!(f, "connection failed: {e}"),
+            CallError::Unreachable(e) => write!(f, "cannot connect: {e}"),
             CallError::Io(e) => write!(f, "{e}"),
-            CallError::TimedOut => write!(f, "nothing received for too long"),
+            CallError::TimedOut => write!(f, "timed out waiting for a response or for the next list"),
             CallError::Status(status) => write!(f, "rejected with HTTP status {status}"),
             CallError::Malformed => write!(f, "response is not a valid server list"),
             CallError::Truncated => write!(f, "response truncated"),
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -81,9 +81,9 @@
 enum NodeTimer {
     /// A timer of the decision module, with its token.
     Policy(u32),
-    /// The time-out of an attempt.
+    /// Time-out of an attempt.
     AttemptTimeout(RequestId, u16),
-    /// The deadline of a request.
+    /// Deadline of a request.
     RequestDeadline(RequestId),
     /// Close server connections that have been idle for too long.
     IdleSweep,
@@ -582,7 +582,7 @@
         }
     }
 
-    /// Replaces a connection on which no whole request was sent by a new one; returns `false` if none can be
+    /// Replaces a connection on which no complete request was sent by a new one; returns `false` if none can be
     /// opened.
     fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
         self.pool.close(conn_id);
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -151,7 +151,7 @@
         let id = server_id(endpoint);
         let previous = self.servers.get(&id);
         // If the address cannot be parsed, the previous one is kept and the rest of the entry still takes
-        // effect.
+        // effect. Without a previous one the entry is skipped.
         let Some(address) = endpoint.address.parse().ok().or(previous.map(|server| server.address)) else {
             return;
         };
