--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -582,8 +582,8 @@
         }
     }
 
-    /// Replaces a connection on which no complete request was sent by a new one; returns `false` if none can be
-    /// opened.
+    /// Replaces a connection on which no complete request was sent by a new one; returns `false` if none can
+    /// be opened.
     fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
         self.pool.close(conn_id);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return false };
