--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -1,5 +1,5 @@
-//! The calls to discovery that are out: which one is in force, and which it has superseded. Decides nothing of when one
-//! is made, and does not look into what they bring.
+//! The calls to discovery in progress: which of them is in force, and which ones it has superseded. Does not
+//! decide when a call is made, and does not look into the lists that calls receive.
 
 mod call;
 mod list;
@@ -19,42 +19,46 @@
 use call::Call;
 pub use list::{Endpoint, ListUpdate};
 
-/// Pauses before a watch on pushed lists is opened again: the first, and the longest.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// The longest is no more than this part of the time within which sends to a server that drains must stop:
-/// what the agent learns counts as notified at once, also while no watch is open.
-const GRACE_PART: u32 = 4;
-/// Calls that were superseded and have not ended yet, at most: each holds a descriptor of the node's reserve.
-const MAX_REPLACED: usize = 3;
+/// Shortest pause before a watch on pushed lists is reopened. The pause doubles after each watch that was not
+/// stable.
+const MIN_REOPEN_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause before a watch on pushed lists is reopened, and the time for which a stable watch stays
+/// open.
+const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
+/// The longest pause is also at most the drain grace time divided by this: the node counts as notified of a
+/// change as soon as the local agent learns of it, even while no watch is open.
+const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
+/// Maximum number of superseded calls that are still open; each holds a descriptor of the node's reserve.
+const MAX_SUPERSEDED_CALLS: usize = 3;
 
-/// Names a call to discovery; never used twice.
+/// Identifies a call to discovery; never reused.
 pub type CallId = u64;
 
-/// What a call to discovery brings.
+/// An event of a call to discovery.
 #[derive(Debug)]
 pub enum CallEvent {
-    /// A list or a change.
+    /// A complete list, or a change of the list.
     List(ListUpdate),
-    /// What came whole of a list that was cut off.
+    /// The complete entries of a list that was truncated.
     PartialList(ListUpdate),
-    /// All that discovery had to tell at first has come.
+    /// The first list, or the line that stands for no change, has been received.
     Synchronized,
-    /// The call failed or the watch ended, and for how long nothing had been heard.
+    /// The call failed or the watch ended; `since_last_contact` is the time without contact.
     Failed { failure: DiscoveryFailure, since_last_contact: Duration },
 }
 
-/// How a call stands to the others.
+/// Whether the events of a call still apply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallStatus {
-    /// What it brings is in force.
+    /// The lists that the call receives come into force.
     Current,
-    /// Another was made in its place and has not been answered yet.
+    /// A new call replaces this one and has not been answered yet.
     Superseded,
-    /// It is over, or the one in its place has been answered.
+    /// The call has ended, or the call that replaces it has been answered.
     Ended,
 }
 
-/// A call that is out; ends when dropped.
+/// A call in progress; dropping it aborts the call.
 struct CallTask {
     id: CallId,
     task: AbortHandle,
@@ -66,29 +70,28 @@
     }
 }
 
-/// The calls to discovery that are out.
+/// The calls to discovery in progress.
 pub struct Discovery {
     address: SocketAddr,
-    /// Where it is from the next call on.
-    moved: Option<SocketAddr>,
-    /// Version of the list held.
+    /// The address for the next call, if discovery has moved.
+    next_address: Option<SocketAddr>,
+    /// Version of the list in force.
     index: Arc<AtomicU64>,
     event_sender: mpsc::Sender<NodeEvent>,
     watch: Option<CallTask>,
-    /// Watches that the present one has superseded. They go on until it is answered: what discovery writes to them counts
-    /// as notified, and the new call may wait in line or be turned away.
+    /// Watches that the present one has superseded. They stay open until it is answered: the node counts as
+    /// notified of what discovery writes to them, and the new call may be queued or rejected.
     superseded: VecDeque<CallTask>,
     fetch: Option<CallTask>,
-    /// The call that was made last.
-    last: CallId,
-    /// The watch that was opened last, for those that would open theirs again.
-    followed: Arc<AtomicU64>,
+    last_call_id: CallId,
+    /// Id of the latest watch on pushed lists; the task of an older one does not reopen its watch.
+    latest_watch_id: Arc<AtomicU64>,
     drain_grace: Duration,
 }
 
 impl Discovery {
-    /// Discovery at an address, where a list of a version is held; sends to servers that drain must stop within
-    /// a grace.
+    /// Returns the state before the first call to discovery at `address`. `index` is the version of the list
+    /// in force, `drain_grace` the time within which sending to a draining server must stop.
     pub fn new(
         address: SocketAddr,
         index: u64,
@@ -97,145 +100,152 @@
     ) -> Self {
         Discovery {
             address,
-            moved: None,
+            next_address: None,
             index: Arc::new(AtomicU64::new(index)),
             event_sender,
             watch: None,
             superseded: VecDeque::new(),
             fetch: None,
-            last: 0,
-            followed: Arc::default(),
+            last_call_id: 0,
+            latest_watch_id: Arc::default(),
             drain_grace,
         }
     }
 
-    /// Discovery is at another address from the next call on. Until then the watch at the old one stays, which
-    /// goes on for a while after a move.
+    /// Sets the address for the next call. Until that call is made the watch at the former address stays
+    /// open, because the former discovery keeps serving for a while after a move.
     pub fn move_to(&mut self, address: SocketAddr) {
-        self.moved = Some(address);
+        self.next_address = Some(address);
     }
 
-    /// Whether it has moved, and no call has been made since.
+    /// Whether discovery has moved and has not been called at its new address yet.
     pub fn move_pending(&self) -> bool {
-        self.moved.is_some()
+        self.next_address.is_some()
     }
 
-    /// Where discovery is.
+    /// Returns the latest known address of discovery.
     pub fn address(&self) -> SocketAddr {
-        self.moved.unwrap_or(self.address)
+        self.next_address.unwrap_or(self.address)
     }
 
-    /// How a call stands to the others.
+    /// Returns whether the events of a call still apply.
     pub fn call_status(&self, id: CallId) -> CallStatus {
-        let is = |call: &CallTask| call.id == id;
-        if self.watch.iter().chain(&self.fetch).any(is) {
+        let has_id = |call: &CallTask| call.id == id;
+        if self.watch.iter().chain(&self.fetch).any(has_id) {
             CallStatus::Current
-        } else if self.superseded.iter().any(is) {
+        } else if self.superseded.iter().any(has_id) {
             CallStatus::Superseded
         } else {
             CallStatus::Ended
         }
     }
 
-    /// The call in force is answered: those that it has superseded are of no more use.
+    /// Closes the superseded calls; called once the present call has been answered.
     pub fn close_superseded(&mut self) {
         self.superseded.clear();
     }
 
-    /// A call has ended by itself.
+    /// Forgets a call that has ended by itself.
     pub fn call_ended(&mut self, id: CallId) {
         self.watch.take_if(|call| call.id == id);
         self.fetch.take_if(|call| call.id == id);
         self.superseded.retain(|call| call.id != id);
     }
 
-    /// Version of the list held.
+    /// Returns the version of the list in force.
     pub fn index(&self) -> u64 {
         self.index.load(Ordering::Relaxed)
     }
 
-    /// A list of a version is held now.
+    /// Sets the version of the list in force.
     pub fn set_index(&self, index: u64) {
         self.index.store(index, Ordering::Relaxed);
     }
 
-    /// Begins the watch, anew if there is one, or ends it.
-    pub fn subscribe(&mut self, on: bool) {
-        let call = self.next_call();
-        if !on {
+    /// Opens a watch, which supersedes an open one, or closes all watches.
+    pub fn subscribe(&mut self, subscribed: bool) {
+        let call_parameters = self.new_watch_call();
+        if !subscribed {
             return self.superseded.clear();
         }
-        let (id, index) = (call.id, self.index.clone());
-        let call = call.begin();
-        self.watch = Some(open(id, async move { call.watch(&index).await }));
+        let (id, index) = (call_parameters.id, self.index.clone());
+        let call = call_parameters.start();
+        self.watch = Some(spawn_call(id, async move { call.watch(&index).await }));
     }
 
-    /// Asks for the whole list once.
+    /// Requests the complete list once.
     pub fn fetch(&mut self) {
-        let call = self.call_here();
-        self.fetch = Some(open(call.id, call.begin().fetch()));
+        let call_parameters = self.new_call();
+        self.fetch = Some(spawn_call(call_parameters.id, call_parameters.start().fetch()));
     }
 
-    /// Where lists are pushed, an agent on this machine has them: its watch is opened again by itself.
+    /// Opens a watch that reopens itself whenever it ends. For deployments that push lists: an agent on the
+    /// local machine receives them and serves the watch.
     pub fn watch_pushed_lists(&mut self) {
-        let next = self.next_call();
-        let (id, index, drain_grace) = (next.id, self.index.clone(), self.drain_grace);
-        self.followed.store(id, Ordering::Relaxed);
-        let followed = self.followed.clone();
-        let follow = async move {
-            let mut pause = BACKOFF.0;
-            // One that was superseded stays to its end and is not opened again.
-            while followed.load(Ordering::Relaxed) == id {
-                let begun = Instant::now();
-                next.begin().watch_quietly(&index).await;
-                pause = next_pause(pause, begun.elapsed(), drain_grace);
+        let call_parameters = self.new_watch_call();
+        let (id, index, drain_grace) = (call_parameters.id, self.index.clone(), self.drain_grace);
+        self.latest_watch_id.store(id, Ordering::Relaxed);
+        let latest_watch_id = self.latest_watch_id.clone();
+        let keep_watch_open = async move {
+            let mut pause = MIN_REOPEN_PAUSE;
+            // A superseded watch stays open until it ends and is not reopened.
+            while latest_watch_id.load(Ordering::Relaxed) == id {
+                let opened_at = Instant::now();
+                call_parameters.start().watch_quietly(&index).await;
+                pause = next_backoff(pause, opened_at.elapsed(), drain_grace);
                 tokio::time::sleep(pause).await;
             }
         };
-        self.watch = Some(open(id, follow));
+        self.watch = Some(spawn_call(id, keep_watch_open));
     }
 
-    /// Turns to where discovery is now, and sets the watch that is open aside until the next call is answered. Against a
-    /// list that stands still: a new discovery counts versions in its own way, so that the whole list is taken from it.
-    fn next_call(&mut self) -> NextCall {
+    /// Returns the parameters of a new watch at the present address of discovery, and supersedes the open
+    /// watch. After a move, the version is reset, so that the complete list is requested: a new discovery
+    /// counts versions in its own way, and after a version of the former one it might never send a change.
+    fn new_watch_call(&mut self) -> CallParameters {
         self.superseded.extend(self.watch.take());
-        if self.superseded.len() > MAX_REPLACED {
+        if self.superseded.len() > MAX_SUPERSEDED_CALLS {
             self.superseded.pop_front();
         }
-        if let Some(address) = self.moved.take() {
+        if let Some(address) = self.next_address.take() {
             (self.address, self.index, self.fetch) = (address, Arc::default(), None);
         }
-        self.call_here()
+        self.new_call()
     }
 
-    /// A call to where discovery was called last.
-    fn call_here(&mut self) -> NextCall {
-        self.last += 1;
-        NextCall { id: self.last, address: self.address, event_sender: self.event_sender.clone() }
+    /// Returns the parameters of a new call to the address that was called last.
+    fn new_call(&mut self) -> CallParameters {
+        self.last_call_id += 1;
+        CallParameters {
+            id: self.last_call_id,
+            address: self.address,
+            event_sender: self.event_sender.clone(),
+        }
     }
 }
 
-/// All that a call needs to begin.
-struct NextCall {
+/// Parameters that a call starts with.
+struct CallParameters {
     id: CallId,
     address: SocketAddr,
     event_sender: mpsc::Sender<NodeEvent>,
 }
 
-impl NextCall {
-    fn begin(&self) -> Call {
+impl CallParameters {
+    fn start(&self) -> Call {
         Call::new(self.id, self.address, self.event_sender.clone())
     }
 }
 
-fn open(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> CallTask {
+fn spawn_call(id: CallId, call: impl Future<Output = ()> + Send + 'static) -> CallTask {
     CallTask { id, task: tokio::spawn(call).abort_handle() }
 }
 
-/// The pause after a watch on pushed lists that stood for some time, and after a pause before it.
-fn next_pause(before: Duration, stood: Duration, drain_grace: Duration) -> Duration {
-    let longest = (drain_grace / GRACE_PART).clamp(BACKOFF.0, BACKOFF.1);
-    if stood > BACKOFF.1 { BACKOFF.0 } else { (before * 2).min(longest) }
+/// Returns the pause before a watch on pushed lists is reopened, from the previous pause and the time for
+/// which the watch was open.
+fn next_backoff(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
+    let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(MIN_REOPEN_PAUSE, MAX_REOPEN_PAUSE);
+    if open_duration > MAX_REOPEN_PAUSE { MIN_REOPEN_PAUSE } else { (previous * 2).min(max_pause) }
 }
 
 #[cfg(test)]
@@ -243,17 +253,23 @@
     use super::*;
 
     #[test]
-    fn a_watch_on_pushed_lists_is_opened_again_well_within_the_grace_of_a_drain() {
+    fn a_watch_on_pushed_lists_reopens_within_half_of_the_drain_grace_time() {
         for grace in [200, 700, 2_000, 60_000].map(Duration::from_millis) {
-            let (mut pause, mut longest) = (BACKOFF.0, Duration::ZERO);
+            let (mut pause, mut longest) = (MIN_REOPEN_PAUSE, Duration::ZERO);
             for _ in 0..20 {
-                pause = next_pause(pause, Duration::from_millis(1), grace);
+                pause = next_backoff(pause, Duration::from_millis(1), grace);
                 longest = longest.max(pause);
             }
-            let bound = (grace / 2).min(BACKOFF.1);
-            assert!(longest <= bound && longest >= BACKOFF.0, "{longest:?} of a grace of {grace:?}");
-            let again = next_pause(longest, Duration::from_secs(60), grace);
-            assert_eq!(again, BACKOFF.0, "one that stood for long, whether or not it had anything to tell");
+            let bound = (grace / 2).min(MAX_REOPEN_PAUSE);
+            assert!(
+                longest <= bound && longest >= MIN_REOPEN_PAUSE,
+                "longest pause {longest:?} with a drain grace time of {grace:?}"
+            );
+            let after_stable_watch = next_backoff(longest, Duration::from_secs(60), grace);
+            assert_eq!(
+                after_stable_watch, MIN_REOPEN_PAUSE,
+                "after a watch that was open for long, whether or not it received anything"
+            );
         }
     }
 }
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -1,4 +1,5 @@
-//! One call to discovery: makes it, and reports what it brings until it ends. Knows nothing of other calls.
+//! One call to discovery: sends the request and reports the lists that it receives until it ends. Knows
+//! nothing of other calls.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,56 +18,57 @@
 use crate::log;
 use crate::stream_io;
 
-const CONNECT: Duration = Duration::from_secs(1);
-/// Calls wait in turn at discovery: it is given this long to begin its answer. What it has to tell counts as
-/// notified six seconds after it fell silent, and the call after a silence may be silent too: with these two limits
-/// there is time for a third.
-const ANSWER: Duration = Duration::from_millis(2_500);
-/// A watch brings a line every two seconds: one that is silent for longer is dead.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Answers are read in pieces of this size.
-const PIECE: usize = 16 * 1024;
-/// The longest list.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which discovery, which queues calls, must send the head of its response. The node counts as
+/// notified of a change 6 s after discovery stopped responding, and the call after one that timed out may
+/// time out too: this limit and `WATCH_IDLE_TIMEOUT` leave time for a third call.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time after which a watch without a list or an empty line is dead; discovery sends a line every 2 s.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Size of one read from the socket.
+const READ_SIZE_BYTES: usize = 16 * 1024;
+/// Maximum size of one list.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call to discovery ended.
 enum CallError {
-    /// No connection came about: discovery never took it.
+    /// The connection was not established: discovery never accepted the call.
     Unreachable(std::io::Error),
-    /// It broke.
+    /// The connection failed.
     Io(std::io::Error),
-    /// It was silent for too long.
-    Silent,
-    /// It was turned away.
+    /// The response head, or the next list or empty line, did not arrive in time.
+    TimedOut,
+    /// Discovery rejected the call with this HTTP status.
     Status(u16),
-    /// It brought what is no list; the list held stays in force.
+    /// The response is not a valid list; the previous list stays in force.
     Malformed,
-    /// Its answer ended before it was whole, perhaps in a list.
-    CutOff,
+    /// The response ended before it was complete, possibly within a list.
+    Truncated,
 }
 
 impl std::fmt::Display for CallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            CallError::Unreachable(e) => write!(f, "no connection: {e}"),
+            CallError::Unreachable(e) => write!(f, "cannot connect: {e}"),
             CallError::Io(e) => write!(f, "{e}"),
-            CallError::Silent => write!(f, "silent for too long"),
-            CallError::Status(status) => write!(f, "answered with status {status}"),
-            CallError::Malformed => write!(f, "brought no list"),
-            CallError::CutOff => write!(f, "its answer was cut off"),
+            CallError::TimedOut => write!(f, "timed out waiting for a response or for the next list"),
+            CallError::Status(status) => write!(f, "rejected with HTTP status {status}"),
+            CallError::Malformed => write!(f, "response is not a valid server list"),
+            CallError::Truncated => write!(f, "response truncated"),
         }
     }
 }
 
 impl CallError {
-    /// What it means for the next call, of one that was answered or not.
-    fn failure(&self, answered: bool) -> DiscoveryFailure {
+    /// Classifies the error for the decision module; `synchronized` is whether the call had received a list
+    /// or an empty line.
+    fn failure(&self, synchronized: bool) -> DiscoveryFailure {
         match self {
             CallError::Unreachable(_) => DiscoveryFailure::Unreachable,
-            CallError::Silent => DiscoveryFailure::TimedOut,
-            CallError::CutOff => DiscoveryFailure::Interrupted,
-            // A reset takes with it what was written and not yet read.
-            CallError::Io(_) if answered => DiscoveryFailure::Interrupted,
+            CallError::TimedOut => DiscoveryFailure::TimedOut,
+            CallError::Truncated => DiscoveryFailure::Interrupted,
+            // A connection reset discards what discovery has written and the node has not read yet.
+            CallError::Io(_) if synchronized => DiscoveryFailure::Interrupted,
             CallError::Io(_) | CallError::Status(_) | CallError::Malformed => DiscoveryFailure::Failed,
         }
     }
@@ -90,84 +92,86 @@
     }
 }
 
-/// A call, and where its news goes.
+/// A call, and the channel for its events.
 pub struct Call {
     id: CallId,
     address: SocketAddr,
     event_sender: mpsc::Sender<NodeEvent>,
-    /// Until when all that discovery had to tell has been heard.
-    heard: Instant,
-    /// Whether anything has been heard.
-    answered: bool,
+    /// Time up to which all changes that discovery had to report have been received.
+    last_contact_at: Instant,
+    /// Whether a list, or the empty line that stands for no change, has been received.
+    synchronized: bool,
 }
 
 impl Call {
-    /// A call that begins now.
+    /// Returns a call that starts now.
     pub fn new(id: CallId, address: SocketAddr, event_sender: mpsc::Sender<NodeEvent>) -> Self {
-        Call { id, address, event_sender, heard: Instant::now(), answered: false }
+        Call { id, address, event_sender, last_contact_at: Instant::now(), synchronized: false }
     }
 
-    /// Opens a watch on what changes after a version, and reports how it ended.
+    /// Opens a watch for changes after version `index`, or for the complete list if that is 0, and reports
+    /// how it ended.
     pub async fn watch(mut self, index: &AtomicU64) {
-        let ended = self.stream(&watch_path(index)).await;
-        self.report_end(ended).await;
+        let result = self.receive_lists(&watch_path(index)).await;
+        self.report_end(result).await;
     }
 
-    /// Opens a watch and reports nothing of its end, which is logged only if it brought something.
+    /// Like [`Self::watch`], but does not report the end of the watch, and logs it only if something was
+    /// received.
     pub async fn watch_quietly(mut self, index: &AtomicU64) {
-        let ended = self.stream(&watch_path(index)).await;
-        if let Err(e) = ended
-            && self.answered
+        let result = self.receive_lists(&watch_path(index)).await;
+        if let Err(e) = result
+            && self.synchronized
         {
             log(&format!("discovery: {e}"));
         }
     }
 
-    /// Asks for the whole list once.
+    /// Requests the complete list once; reports the end of the call only if it failed.
     pub async fn fetch(mut self) {
-        let ended = self.stream("/v1/servers").await;
-        if ended.is_err() {
-            self.report_end(ended).await;
+        let result = self.receive_lists("/v1/servers").await;
+        if result.is_err() {
+            self.report_end(result).await;
         }
     }
 
-    async fn report(&self, news: CallEvent) {
-        let _ = self.event_sender.send(NodeEvent::Discovery(self.id, news)).await;
+    async fn report(&self, event: CallEvent) {
+        let _ = self.event_sender.send(NodeEvent::Discovery(self.id, event)).await;
     }
 
-    /// Logs how the call ended, and tells as much as matters for the next.
-    async fn report_end(&self, ended: Result<(), CallError>) {
-        match &ended {
-            Ok(()) => log("discovery: the watch has ended"),
+    /// Logs how the call ended, and reports the failure, which determines when the next call is made.
+    async fn report_end(&self, result: Result<(), CallError>) {
+        match &result {
+            Ok(()) => log("discovery: watch ended"),
             Err(e) => log(&format!("discovery: {e}")),
         }
-        let failure = ended.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.answered));
-        self.report(CallEvent::Failed { failure, since_last_contact: self.heard.elapsed() }).await;
+        let failure = result.err().map_or(DiscoveryFailure::Failed, |e| e.failure(self.synchronized));
+        self.report(CallEvent::Failed { failure, since_last_contact: self.last_contact_at.elapsed() }).await;
     }
 
-    /// Makes the call and reports each list of its answer, until that ends.
-    async fn stream(&mut self, path: &str) -> Result<(), CallError> {
-        let begun = Instant::now();
+    /// Makes the call and reports each list of the response until the response ends.
+    async fn receive_lists(&mut self, path: &str) -> Result<(), CallError> {
+        let started_at = Instant::now();
         let stream = self.connect(path).await?;
         let mut raw = BytesMut::new();
         let head = read_head(&stream, &mut raw).await?;
         if head.status != 200 {
             return Err(CallError::Status(head.status));
         }
-        log(&format!("discovery: {} answers after {} ms", self.address, begun.elapsed().as_millis()));
-        let mut body = Body { left: head.content_length.unwrap_or(usize::MAX), ..Body::default() };
-        body.chunks = head.chunked.then(ChunkedDecoder::default);
-        let ended = self.read_lists(&stream, &mut raw, &mut body).await;
-        if ended.is_err() {
-            self.report_fragment(&body.content).await;
+        log(&format!("discovery: {} answers after {} ms", self.address, started_at.elapsed().as_millis()));
+        let mut body = Body { remaining_bytes: head.content_length.unwrap_or(usize::MAX), ..Body::default() };
+        body.chunked_decoder = head.chunked.then(ChunkedDecoder::default);
+        let result = self.read_lists(&stream, &mut raw, &mut body).await;
+        if result.is_err() {
+            self.report_partial_list(&body.content).await;
         }
-        ended
+        result
     }
 
     async fn connect(&self, path: &str) -> Result<TcpStream, CallError> {
         let address = self.address;
         log(&format!("discovery: calling {address}{path}"));
-        let connect = async { timeout(CONNECT, TcpStream::connect(address)).await? };
+        let connect = async { timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await? };
         let stream = connect.await.map_err(CallError::Unreachable)?;
         let _ = stream.set_nodelay(true);
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
@@ -181,73 +185,77 @@
         raw: &mut BytesMut,
         body: &mut Body,
     ) -> Result<(), CallError> {
-        // All limits are points in time: what trickles in moves none of them.
-        let mut by = Instant::now() + SILENCE;
+        // A fixed deadline: bytes that trickle in without completing a list do not extend it.
+        let mut read_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
         loop {
-            body.take(raw)?;
+            body.consume(raw)?;
             if (body.ended || body.content.contains(&b'\n')) && self.report_lists(&mut body.content).await? {
-                by = self.heard + SILENCE;
+                read_deadline = self.last_contact_at + WATCH_IDLE_TIMEOUT;
             }
             if body.ended {
-                // What is left over is a list that was cut off.
-                return if body.content.is_empty() { Ok(()) } else { Err(CallError::CutOff) };
+                // Remaining content is a truncated list.
+                return if body.content.is_empty() { Ok(()) } else { Err(CallError::Truncated) };
             }
-            if body.content.len() > MAX_LIST {
+            if body.content.len() > MAX_LIST_BYTES {
                 return Err(CallError::Malformed);
             }
-            let read = timeout_at(by, read_piece(stream, raw)).await.map_err(|_| CallError::Silent)?;
+            let read = timeout_at(read_deadline, read_available(stream, raw))
+                .await
+                .map_err(|_| CallError::TimedOut)?;
             if !matches!(read, Ok(count) if count > 0) {
-                if self.answered && body.content.is_empty() {
-                    // Between two lists: up to the break there was no more to tell.
-                    self.heard = Instant::now();
+                if self.synchronized && body.content.is_empty() {
+                    // The connection ended between two lists, so until then there were no further changes.
+                    self.last_contact_at = Instant::now();
                 }
                 read?;
-                return Err(CallError::CutOff);
+                return Err(CallError::Truncated);
             }
         }
     }
 
-    /// Reports what came whole of a list that was cut off.
-    async fn report_fragment(&self, content: &[u8]) {
+    /// Reports the complete entries of a truncated list.
+    async fn report_partial_list(&self, content: &[u8]) {
         let endpoints = list::whole_entries(content);
         if !endpoints.is_empty() {
             self.report(CallEvent::PartialList(ListUpdate { endpoints, ..ListUpdate::default() })).await;
         }
     }
 
-    /// Reports the lists that are whole; tells whether there was one, or an empty line.
+    /// Reports the complete lists; returns whether there was a list or an empty line.
     async fn report_lists(&mut self, content: &mut BytesMut) -> Result<bool, CallError> {
-        let taken = list::take_lists(content)?;
-        for list in taken.lists {
+        let parsed = list::take_lists(content)?;
+        for list in parsed.lists {
             self.report(CallEvent::List(list)).await;
         }
-        if taken.any_received {
-            self.heard = Instant::now();
-            if !std::mem::replace(&mut self.answered, true) {
+        if parsed.any_received {
+            self.last_contact_at = Instant::now();
+            if !std::mem::replace(&mut self.synchronized, true) {
                 self.report(CallEvent::Synchronized).await;
             }
         }
-        Ok(taken.any_received)
+        Ok(parsed.any_received)
     }
 }
 
-async fn read_piece(stream: &TcpStream, raw: &mut BytesMut) -> std::io::Result<usize> {
-    raw.reserve(PIECE);
+async fn read_available(stream: &TcpStream, raw: &mut BytesMut) -> std::io::Result<usize> {
+    raw.reserve(READ_SIZE_BYTES);
     stream_io::read(stream, raw).await
 }
 
 fn watch_path(index: &AtomicU64) -> String {
     match index.load(Ordering::Relaxed) {
         0 => "/v1/servers?watch=1".into(),
-        held => format!("/v1/servers?watch=1&after={held}"),
+        version => format!("/v1/servers?watch=1&after={version}"),
     }
 }
 
-/// Reads until the head of the answer is whole, and takes it off what was read.
+/// Reads until the head of the response is complete, and removes it from `raw`.
 async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
-    let by = Instant::now() + ANSWER;
+    let read_deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
     loop {
-        let count = timeout_at(by, read_piece(stream, raw)).await.map_err(|_| CallError::Silent)??;
+        let count = timeout_at(read_deadline, read_available(stream, raw))
+            .await
+            .map_err(|_| CallError::TimedOut)??;
         if let Some(head) = http::head(raw)? {
             let _ = raw.split_to(head.length);
             return Ok(head);
@@ -258,29 +266,29 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Default)]
 struct Body {
-    /// Its content, as far as it was not taken for a list.
+    /// Decoded content that has not been parsed as a list yet.
     content: BytesMut,
-    /// Takes the chunks apart, where it comes in such.
-    chunks: Option<ChunkedDecoder>,
-    /// What is still to come of a stated length.
-    left: usize,
-    /// Nothing more belongs to it.
+    /// Decoder for a chunked body.
+    chunked_decoder: Option<ChunkedDecoder>,
+    /// Bytes still to come of a body with a content length; `usize::MAX` at first for a body without one.
+    remaining_bytes: usize,
+    /// Whether the body is complete.
     ended: bool,
 }
 
 impl Body {
-    /// Takes what belongs to it off what was read.
-    fn take(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
-        if let Some(chunks) = &mut self.chunks {
-            self.ended |= chunks.decode(raw, &mut self.content)?;
+    /// Moves the bytes of the body from `raw` to the content.
+    fn consume(&mut self, raw: &mut BytesMut) -> Result<(), http::MalformedResponse> {
+        if let Some(chunked_decoder) = &mut self.chunked_decoder {
+            self.ended |= chunked_decoder.decode(raw, &mut self.content)?;
         } else {
-            let part = raw.split_to(raw.len().min(self.left));
-            self.left -= part.len();
-            self.content.extend_from_slice(&part);
-            self.ended |= self.left == 0;
+            let body_part = raw.split_to(raw.len().min(self.remaining_bytes));
+            self.remaining_bytes -= body_part.len();
+            self.content.extend_from_slice(&body_part);
+            self.ended |= self.remaining_bytes == 0;
         }
         Ok(())
     }
--- a/src/bin/pondproxy-node/event_loop/server_lists.rs
+++ b/src/bin/pondproxy-node/event_loop/server_lists.rs
@@ -1,4 +1,5 @@
-//! What the event loop does with news of calls to discovery: which lists are in force, and what is taken from the others.
+//! The part of the event loop that handles events of calls to discovery: which list comes into force, and
+//! what is applied of the other lists.
 
 use pondproxy::{Event, ListKind, Micros};
 
@@ -8,54 +9,58 @@
 use crate::server_table::ListChanges;
 
 impl Node {
-    /// News of a call to discovery.
-    pub(super) fn discovery_news(&mut self, call: CallId, news: CallEvent) {
-        let call_status = self.discovery.call_status(call);
-        match (call_status, news) {
-            (CallStatus::Current, CallEvent::List(update)) => self.list(update, None),
+    /// Handles an event of a call to discovery.
+    pub(super) fn handle_discovery_event(&mut self, call_id: CallId, event: CallEvent) {
+        let call_status = self.discovery.call_status(call_id);
+        match (call_status, event) {
+            (CallStatus::Current, CallEvent::List(update)) => self.apply_list(update, None),
             (CallStatus::Current, CallEvent::Synchronized) => self.discovery.close_superseded(),
             (CallStatus::Current, CallEvent::Failed { failure, since_last_contact }) => {
-                self.discovery.call_ended(call);
-                // Where discovery has moved, the former one ends its watches, and the next call is to be made soon.
+                self.discovery.call_ended(call_id);
+                // After a move, the discovery at the former address ends its watches. That is not a failure,
+                // and a call to the new address follows soon.
                 if !self.discovery.move_pending() {
-                    self.tell(Event::DiscoveryFailed {
+                    self.dispatch_event(Event::DiscoveryFailed {
                         failure,
                         since_last_contact: since_last_contact.as_micros() as Micros,
                     });
                 }
             }
-            (CallStatus::Superseded, CallEvent::List(update)) => self.withdraw(&update),
+            (CallStatus::Superseded, CallEvent::List(update)) => self.apply_withdrawn_servers(&update),
             (CallStatus::Current | CallStatus::Superseded, CallEvent::PartialList(update)) => {
-                self.withdraw(&update)
+                self.apply_withdrawn_servers(&update)
             }
-            (CallStatus::Superseded, CallEvent::Failed { .. }) => self.discovery.call_ended(call),
-            // The view of a discovery whose successor has answered is no longer in force.
+            (CallStatus::Superseded, CallEvent::Failed { .. }) => self.discovery.call_ended(call_id),
+            // The lists of a call are no longer in force once the call that replaces it has been answered.
             (CallStatus::Superseded, CallEvent::Synchronized) | (CallStatus::Ended, _) => {}
         }
     }
 
-    /// A list that was cut off, or of a call that another is to replace. It is not the list in force, but what it
-    /// has told of servers that drain or are gone counts as notified.
-    fn withdraw(&mut self, update: &ListUpdate) {
+    /// Applies only the withdrawals of a list that was truncated or that a superseded call received. Such a
+    /// list does not come into force, but the node counts as notified of the servers that it lists as
+    /// draining or removed.
+    fn apply_withdrawn_servers(&mut self, update: &ListUpdate) {
         let changes = self.servers.apply_withdrawals(update, self.clock.now());
         if !changes.entries.is_empty() {
-            self.take_over(ListKind::Withdrawal, update.index, changes);
+            self.apply_changes(ListKind::Withdrawal, update.index, changes);
         }
     }
 
-    /// A list or a change of it comes into force.
-    pub(super) fn list(&mut self, update: ListUpdate, kind: Option<ListKind>) {
+    /// Puts a list or a change of the list into force; without a `kind`, the update itself states which it
+    /// is.
+    pub(super) fn apply_list(&mut self, update: ListUpdate, kind: Option<ListKind>) {
         let kind = kind.unwrap_or(if update.snapshot { ListKind::Full } else { ListKind::Delta });
         if kind == ListKind::Delta && update.index < self.discovery.index() {
-            return; // Older than the list held.
+            return; // Older than the list in force.
         }
         self.discovery.set_index(update.index);
         let changes = self.servers.apply(kind, &update.endpoints, self.clock.now());
-        self.take_over(kind, update.index, changes);
+        self.apply_changes(kind, update.index, changes);
     }
 
-    /// What a list has changed takes effect.
-    fn take_over(&mut self, kind: ListKind, index: u64, changes: ListChanges) {
+    /// Applies the changes that a list made: logs them, closes idle connections and notifies the decision
+    /// module.
+    fn apply_changes(&mut self, kind: ListKind, index: u64, changes: ListChanges) {
         let summary = changes.summary();
         if !summary.is_empty() {
             log(&format!("server list version {index} ({kind:?}): {summary}"));
@@ -63,6 +68,6 @@
         for id in changes.close_idle {
             self.pool.close_idle(id);
         }
-        self.tell(Event::ServerList { kind, servers: changes.entries });
+        self.dispatch_event(Event::ServerList { kind, servers: changes.entries });
     }
 }
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -1,43 +1,42 @@
-//! What the node needs of HTTP/1.1 as a client: the head of an answer and chunked bodies.
+//! The parts of HTTP/1.1 that the node needs as a client: parsing of response heads and of chunked bodies.
 
 use bytes::{Buf, BytesMut};
 
-/// An answer that can't be understood.
+/// The response violates HTTP/1.1 or exceeds a limit.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedResponse;
 
-/// The longest head, and the longest line that states a chunk's size.
-const MAX_HEAD: usize = 16 * 1024;
+/// Maximum length of a response head, and of a line with the size of a chunk.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 48;
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Its bytes.
+    /// Length of the head in bytes.
     pub length: usize,
-    /// Its status code.
     pub status: u16,
-    /// The stated length of the body.
+    /// Length of the body, if stated.
     pub content_length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body is chunked.
     pub chunked: bool,
-    /// Whether the connection ends after this answer.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// Whether the server says that it did not run the request (`X-Unprocessed: 1`).
+    /// Whether the server states that it did not execute the request (`X-Unprocessed: 1`).
     pub unprocessed: bool,
-    /// The load report (`X-Backend-Load`).
+    /// Load report (`X-Backend-Load`).
     pub load: Option<String>,
-    /// How a read went (`X-Lookup`).
+    /// Result of the cache lookup (`X-Lookup`).
     pub lookup: Option<String>,
 }
 
-/// Reads a head at the front of a buffer; `None` while it is not all there.
+/// Parses the response head at the start of `buffer`; returns `None` while the head is incomplete.
 pub fn head(buffer: &[u8]) -> Result<Option<ResponseHead>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(MalformedResponse),
     };
     let status = response.code.unwrap_or(0);
@@ -47,10 +46,11 @@
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                // Against lengths that two readers would read differently: signs, and two that differ.
+                // Rejects a length with a sign and two different lengths: implementations disagree on their
+                // meaning.
                 let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
                 let length = value.parse().ok().filter(|_| digits).ok_or(MalformedResponse)?;
-                if head.content_length.is_some_and(|before| before != length) {
+                if head.content_length.is_some_and(|earlier| earlier != length) {
                     return Err(MalformedResponse);
                 }
                 head.content_length = Some(length);
@@ -72,47 +72,47 @@
     Ok(Some(head))
 }
 
-/// Takes chunks apart as they come.
+/// Decodes a chunked body as its bytes arrive.
 #[derive(Default)]
 pub struct ChunkedDecoder {
-    left: usize,
-    /// The line end after a chunk's content is still to come.
-    line_end: bool,
-    ended: bool,
+    chunk_remaining: usize,
+    /// Whether the line end after the content of a chunk is still to come.
+    chunk_end_pending: bool,
+    finished: bool,
 }
 
 impl ChunkedDecoder {
-    /// Moves what is there of the body's content from one buffer to the other; `true` at the body's end.
-    pub fn decode(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, MalformedResponse> {
-        while !self.ended {
-            if self.left > 0 {
-                let part = self.left.min(from.len());
-                to.extend_from_slice(&from[..part]);
-                from.advance(part);
-                self.left -= part;
-                self.line_end = self.left == 0;
-                if self.left > 0 {
+    /// Moves available content of the body from `input` to `output`; returns whether the body is complete.
+    pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, MalformedResponse> {
+        while !self.finished {
+            if self.chunk_remaining > 0 {
+                let part = self.chunk_remaining.min(input.len());
+                output.extend_from_slice(&input[..part]);
+                input.advance(part);
+                self.chunk_remaining -= part;
+                self.chunk_end_pending = self.chunk_remaining == 0;
+                if self.chunk_remaining > 0 {
                     return Ok(false);
                 }
             }
-            if self.line_end {
-                if from.len() < 2 {
+            if self.chunk_end_pending {
+                if input.len() < 2 {
                     return Ok(false);
                 }
-                if !from.starts_with(b"\r\n") {
+                if !input.starts_with(b"\r\n") {
                     return Err(MalformedResponse);
                 }
-                from.advance(2);
-                self.line_end = false;
+                input.advance(2);
+                self.chunk_end_pending = false;
             }
-            match httparse::parse_chunk_size(from) {
+            match httparse::parse_chunk_size(input) {
                 Ok(httparse::Status::Complete((length, size))) => {
-                    from.advance(length);
-                    self.left = usize::try_from(size).map_err(|_| MalformedResponse)?;
-                    // Trailers are not read: what follows the last chunk ends the use of the connection.
-                    self.ended = size == 0;
+                    input.advance(length);
+                    self.chunk_remaining = usize::try_from(size).map_err(|_| MalformedResponse)?;
+                    // Trailers are not parsed, so the connection cannot be reused after the last chunk.
+                    self.finished = size == 0;
                 }
-                Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => return Ok(false),
+                Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(false),
                 _ => return Err(MalformedResponse),
             }
         }
@@ -125,17 +125,17 @@
     use super::*;
 
     #[test]
-    fn chunks_are_joined_however_they_are_cut() {
+    fn chunks_are_decoded_however_the_input_is_split() {
         let whole = b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\n";
-        for step in 1..whole.len() {
-            let (mut chunks, mut from, mut to) =
+        for part_size in 1..whole.len() {
+            let (mut chunks, mut input, mut output) =
                 (ChunkedDecoder::default(), BytesMut::new(), BytesMut::new());
-            let mut ended = false;
-            for part in whole.chunks(step) {
-                from.extend_from_slice(part);
-                ended = chunks.decode(&mut from, &mut to).unwrap();
+            let mut finished = false;
+            for part in whole.chunks(part_size) {
+                input.extend_from_slice(part);
+                finished = chunks.decode(&mut input, &mut output).unwrap();
             }
-            assert!(ended && &to[..] == b"hello!", "in steps of {step}: {to:?}");
+            assert!(finished && &output[..] == b"hello!", "in parts of {part_size} bytes: {output:?}");
         }
         let mut bad = BytesMut::from("zz\r\n");
         assert_eq!(ChunkedDecoder::default().decode(&mut bad, &mut BytesMut::new()), Err(MalformedResponse));
--- a/src/bin/pondproxy-node/memory_budget.rs
+++ b/src/bin/pondproxy-node/memory_budget.rs
@@ -1,68 +1,75 @@
-//! One budget of memory for all that clients and servers can make a node hold: commands, their values, and
-//! answers on their way.
+//! A budget for the memory that clients and servers can make a node hold: commands, their values, and answers
+//! in transit.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The program itself, its tables and what the runtime and each connection take.
-const BASE_MB: usize = 12;
-/// A byte that is accounted for may cost this many: buffers grow by doubling and leave gaps behind.
-const SLACK: usize = 2;
-/// The unit of the account.
-const UNIT: usize = 1024;
-/// What clients send ahead may take this part: the rest is left to requests that are taken.
-const AHEAD: usize = 4;
+/// Memory for the program itself, its tables, the runtime and the connections; not part of the budget.
+const BASELINE_MB: usize = 12;
+/// Bytes of real memory that a reserved byte may cost: buffers grow by doubling, and the heap fragments.
+const BUFFER_OVERHEAD_FACTOR: usize = 2;
+/// Unit in which the budget is counted.
+const UNIT_BYTES: usize = 1024;
+/// Pipelined input may use the budget divided by this; the rest is left to accepted requests.
+const PIPELINED_DIVISOR: usize = 4;
 
-/// The budget.
+/// A budget that can be shared by cloning.
 #[derive(Clone)]
 pub struct MemoryBudget {
-    free: Arc<Semaphore>,
-    /// What of it may still go to what was sent ahead.
-    ahead: Arc<Semaphore>,
-    units: u32,
+    available: Arc<Semaphore>,
+    /// The part of the budget that pipelined input may still reserve.
+    pipelined_available: Arc<Semaphore>,
+    total_units: u32,
 }
 
-/// A part of the budget, given back when dropped.
+/// A reserved part of the budget, released when dropped.
 #[derive(Debug)]
 #[expect(dead_code, reason = "held for its drop")]
 pub struct MemoryReservation(OwnedSemaphorePermit, Option<OwnedSemaphorePermit>);
 
 impl MemoryBudget {
-    /// The budget of a node that may have so many megabytes in all.
+    /// Returns the budget of a node whose whole process may use `memory_mb` megabytes.
     pub fn new(memory_mb: usize) -> MemoryBudget {
-        let units = (memory_mb.saturating_sub(BASE_MB).max(4) * 1024 * 1024 / SLACK / UNIT).min(1 << 28);
-        let (free, ahead) = (Arc::new(Semaphore::new(units)), Arc::new(Semaphore::new(units / AHEAD)));
-        MemoryBudget { free, ahead, units: units as u32 }
+        let total_units = (memory_mb.saturating_sub(BASELINE_MB).max(4) * 1024 * 1024
+            / BUFFER_OVERHEAD_FACTOR
+            / UNIT_BYTES)
+            .min(1 << 28);
+        let (available, pipelined_available) = (
+            Arc::new(Semaphore::new(total_units)),
+            Arc::new(Semaphore::new(total_units / PIPELINED_DIVISOR)),
+        );
+        MemoryBudget { available, pipelined_available, total_units: total_units as u32 }
     }
 
-    /// The whole of it, in bytes.
+    /// Returns the size of the whole budget in bytes.
     pub fn total_bytes(&self) -> usize {
-        self.units as usize * UNIT
+        self.total_units as usize * UNIT_BYTES
     }
 
-    fn units(&self, bytes: usize) -> u32 {
-        // More than all there is would be waited for in vain.
-        bytes.div_ceil(UNIT).min(self.units as usize) as u32
+    fn units_for(&self, bytes: usize) -> u32 {
+        // Capped at the whole budget: a larger reservation would never be granted.
+        bytes.div_ceil(UNIT_BYTES).min(self.total_units as usize) as u32
     }
 
-    /// A part for some bytes, if it is free.
+    /// Reserves `bytes` if they are available.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        let free = self.free.clone().try_acquire_many_owned(self.units(bytes)).ok()?;
-        Some(MemoryReservation(free, None))
+        let available = self.available.clone().try_acquire_many_owned(self.units_for(bytes)).ok()?;
+        Some(MemoryReservation(available, None))
     }
 
-    /// A part for some bytes that were sent ahead, if it is free.
+    /// Reserves `bytes` for pipelined input if they are available.
     pub fn try_reserve_pipelined(&self, bytes: usize) -> Option<MemoryReservation> {
-        let ahead = self.ahead.clone().try_acquire_many_owned(self.units(bytes)).ok()?;
-        Some(MemoryReservation(self.try_reserve(bytes)?.0, Some(ahead)))
+        let pipelined_available =
+            self.pipelined_available.clone().try_acquire_many_owned(self.units_for(bytes)).ok()?;
+        Some(MemoryReservation(self.try_reserve(bytes)?.0, Some(pipelined_available)))
     }
 
-    /// A part for some bytes, once it is free.
+    /// Reserves `bytes`, waiting until they are available.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
-        match self.free.clone().acquire_many_owned(self.units(bytes)).await {
+        match self.available.clone().acquire_many_owned(self.units_for(bytes)).await {
             Ok(permit) => MemoryReservation(permit, None),
-            Err(_) => std::future::pending().await, // It is never closed.
+            Err(_) => std::future::pending().await, // The semaphore is never closed.
         }
     }
 }
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -1,94 +1,99 @@
-//! RESP2, both directions. Written here since the decoders at hand recurse without a bound on depth and
-//! take any stated length: what a peer sends must neither overflow the stack nor reserve memory.
+//! Parsing and encoding of RESP2. Implemented here because the available decoders recurse without a limit on
+//! depth and accept any stated length: input from a peer must neither overflow the stack nor cause memory to
+//! be reserved.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The longest value that clients send.
+/// Maximum size of a value in a command of a client.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Words in a command, and elements in an answer, at most.
-const MAX_WORDS: usize = 16;
-/// The longest line that states a length.
-const MAX_LENGTH_LINE: usize = 24;
-/// The longest plain or error line of an answer.
-const MAX_LINE: usize = 4096;
-/// How deep arrays of an answer may be nested.
+/// Maximum number of arguments in a command, and of elements in an array of a reply.
+const MAX_ELEMENTS: usize = 16;
+/// Maximum size of a line that states a length.
+const MAX_LENGTH_LINE_BYTES: usize = 24;
+/// Maximum size of a simple string, error or integer in a reply.
+const MAX_LINE_BYTES: usize = 4096;
+/// Maximum nesting depth of arrays in a reply.
 const MAX_DEPTH: u8 = 3;
 
-/// Input that can't be understood: from here on its framing is lost.
+/// The input violates the protocol or a limit. Its framing is lost from here on.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct ProtocolError(pub &'static str);
 
-const UNENDED: ProtocolError = ProtocolError("bulk string not ended");
-const NULL: ProtocolError = ProtocolError("null in a command");
+const UNTERMINATED_BULK: ProtocolError = ProtocolError("bulk string not ended");
+const NULL_IN_COMMAND: ProtocolError = ProtocolError("null in a command");
 
-/// An answer of a cache server.
+/// A reply of a cache server.
 #[derive(Debug, PartialEq, Clone)]
 pub enum Value {
     /// A bulk string, or null.
     Bulk(Option<Bytes>),
-    /// An array; null counts as empty.
+    /// An array; a null array is parsed as an empty one.
     Array(Vec<Value>),
-    /// A plain line.
     SimpleString(Bytes),
-    /// An error line.
     Error(Bytes),
-    /// A number.
     Integer(i64),
 }
 
-/// Takes one whole command, an array of bulk strings, off the front; `None` while it is not all there.
+/// Removes one command, an array of bulk strings, from the front of `buffer`; returns `None` while it is
+/// incomplete.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ProtocolError> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest: MAX_VALUE_BYTES };
-    let Some(words) = scan.command()? else { return Ok(None) };
-    let end = scan.at;
-    // Each word is a copy of its own: together they would hold the whole buffer for as long as one lives.
-    let whole = buffer.split_to(end);
-    Ok(Some(words.into_iter().map(|(from, to)| Bytes::copy_from_slice(&whole[from..to])).collect()))
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: MAX_VALUE_BYTES };
+    let Some(arguments) = parser.read_command()? else { return Ok(None) };
+    let end = parser.position;
+    // Each argument is copied: slices of the buffer would keep all of it allocated while any of them lives.
+    let command = buffer.split_to(end);
+    Ok(Some(arguments.into_iter().map(|(from, to)| Bytes::copy_from_slice(&command[from..to])).collect()))
 }
 
-/// Takes one whole answer off the front, no string in it longer than a limit; `None` while it is not all there.
-pub fn take_value(buffer: &mut BytesMut, longest: usize) -> Result<Option<Value>, ProtocolError> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest };
-    let Some(value) = scan.value(0)? else { return Ok(None) };
-    let end = scan.at;
+/// Removes one reply from the front of `buffer`, with bulk strings of at most `max_bulk_bytes`; returns
+/// `None` while it is incomplete.
+pub fn take_value(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Value>, ProtocolError> {
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes };
+    let Some(value) = parser.read_value(0)? else { return Ok(None) };
+    let end = parser.position;
     let _ = buffer.split_to(end);
     Ok(Some(value))
 }
 
-/// The length that an answer states for its value, once it has.
+/// Returns the length that a reply states for its value, the first element of the array; `None` if that has
+/// not arrived or is malformed.
 pub fn declared_length(buffer: &[u8]) -> Option<usize> {
-    let mut scan = Scan { bytes: buffer, at: 0, longest: usize::MAX };
-    scan.length(b'*', MAX_WORDS).ok()??;
-    scan.length(b'$', usize::MAX).ok()??
+    let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: usize::MAX };
+    parser.read_length(b'*', MAX_ELEMENTS).ok()??;
+    parser.read_length(b'$', usize::MAX).ok()??
 }
 
-struct Scan<'a> {
-    bytes: &'a [u8],
-    at: usize,
-    longest: usize,
+struct Parser<'a> {
+    input: &'a [u8],
+    position: usize,
+    max_bulk_bytes: usize,
 }
 
-impl<'a> Scan<'a> {
-    fn line(&mut self, longest: usize) -> Result<Option<&'a [u8]>, ProtocolError> {
-        let rest = &self.bytes[self.at..];
-        match rest.windows(2).take(longest + 1).position(|pair| pair == b"\r\n") {
+impl<'a> Parser<'a> {
+    fn read_line(&mut self, max_bytes: usize) -> Result<Option<&'a [u8]>, ProtocolError> {
+        let rest = &self.input[self.position..];
+        match rest.windows(2).take(max_bytes + 1).position(|pair| pair == b"\r\n") {
             Some(end) => {
-                self.at += end + 2;
+                self.position += end + 2;
                 Ok(Some(&rest[..end]))
             }
-            None if rest.len() > longest + 1 => Err(ProtocolError("line too long")),
+            None if rest.len() > max_bytes + 1 => Err(ProtocolError("line too long")),
             None => Ok(None),
         }
     }
 
-    /// A line of a mark and a length; `None` inside stands for a null.
-    fn length(&mut self, mark: u8, most: usize) -> Result<Option<Option<usize>>, ProtocolError> {
-        match self.bytes.get(self.at) {
+    /// Reads a line of a type byte and a length. The outer `None` means incomplete, the inner `None` a null.
+    fn read_length(
+        &mut self,
+        type_byte: u8,
+        max_length: usize,
+    ) -> Result<Option<Option<usize>>, ProtocolError> {
+        match self.input.get(self.position) {
             None => return Ok(None),
-            Some(found) if *found != mark => return Err(ProtocolError("unexpected type")),
+            Some(found) if *found != type_byte => return Err(ProtocolError("unexpected type")),
             Some(_) => {}
         }
-        let Some(line) = self.line(MAX_LENGTH_LINE)? else { return Ok(None) };
+        let Some(line) = self.read_line(MAX_LENGTH_LINE_BYTES)? else { return Ok(None) };
         if &line[1..] == b"-1" {
             return Ok(Some(None));
         }
@@ -96,57 +101,63 @@
         let number =
             std::str::from_utf8(&line[1..]).ok().filter(|_| digits).and_then(|text| text.parse().ok());
         let number: usize = number.ok_or(ProtocolError("invalid length"))?;
-        if number > most { Err(ProtocolError("value or command too long")) } else { Ok(Some(Some(number))) }
+        if number > max_length {
+            Err(ProtocolError("value or command too long"))
+        } else {
+            Ok(Some(Some(number)))
+        }
     }
 
-    /// Bounds of the content of a bulk string.
-    fn bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
-        let length = match self.length(b'$', self.longest)? {
+    /// Reads a bulk string and returns the bounds of its content. The outer `None` means incomplete, the
+    /// inner `None` a null.
+    fn read_bulk(&mut self) -> Result<Option<Option<(usize, usize)>>, ProtocolError> {
+        let length = match self.read_length(b'$', self.max_bulk_bytes)? {
             None => return Ok(None),
             Some(None) => return Ok(Some(None)),
             Some(Some(length)) => length,
         };
-        let (from, to) = (self.at, self.at + length);
-        let Some(end) = self.bytes.get(to..to + 2) else { return Ok(None) };
+        let (from, to) = (self.position, self.position + length);
+        let Some(end) = self.input.get(to..to + 2) else { return Ok(None) };
         if end != b"\r\n" {
-            return Err(UNENDED);
+            return Err(UNTERMINATED_BULK);
         }
-        self.at = to + 2;
+        self.position = to + 2;
         Ok(Some(Some((from, to))))
     }
 
-    /// How many words a command has.
-    fn count(&mut self) -> Result<Option<usize>, ProtocolError> {
-        match self.length(b'*', MAX_WORDS)? {
-            // Against floods of commands that say nothing and are cheap to send.
+    /// Reads the number of arguments of a command; returns `None` while it is incomplete.
+    fn read_argument_count(&mut self) -> Result<Option<usize>, ProtocolError> {
+        match self.read_length(b'*', MAX_ELEMENTS)? {
+            // Rejected because empty commands have no effect and are cheap to send: this prevents floods of
+            // them.
             Some(None | Some(0)) => Err(ProtocolError("empty command")),
             count => Ok(count.flatten()),
         }
     }
 
-    fn command(&mut self) -> Result<Option<Vec<(usize, usize)>>, ProtocolError> {
-        let Some(count) = self.count()? else { return Ok(None) };
-        let mut words = Vec::with_capacity(count);
+    fn read_command(&mut self) -> Result<Option<Vec<(usize, usize)>>, ProtocolError> {
+        let Some(count) = self.read_argument_count()? else { return Ok(None) };
+        let mut arguments = Vec::with_capacity(count);
         for _ in 0..count {
-            match self.bulk()? {
+            match self.read_bulk()? {
                 None => return Ok(None),
-                Some(word) => words.push(word.ok_or(NULL)?),
+                Some(argument) => arguments.push(argument.ok_or(NULL_IN_COMMAND)?),
             }
         }
-        Ok(Some(words))
+        Ok(Some(arguments))
     }
 
-    fn value(&mut self, depth: u8) -> Result<Option<Value>, ProtocolError> {
-        let Some(mark) = self.bytes.get(self.at) else { return Ok(None) };
-        match mark {
-            b'$' => Ok(self.bulk()?.map(|bounds| {
-                Value::Bulk(bounds.map(|(from, to)| Bytes::copy_from_slice(&self.bytes[from..to])))
+    fn read_value(&mut self, depth: u8) -> Result<Option<Value>, ProtocolError> {
+        let Some(type_byte) = self.input.get(self.position) else { return Ok(None) };
+        match type_byte {
+            b'$' => Ok(self.read_bulk()?.map(|bounds| {
+                Value::Bulk(bounds.map(|(from, to)| Bytes::copy_from_slice(&self.input[from..to])))
             })),
             b'*' if depth < MAX_DEPTH => {
-                let Some(count) = self.length(b'*', MAX_WORDS)? else { return Ok(None) };
+                let Some(count) = self.read_length(b'*', MAX_ELEMENTS)? else { return Ok(None) };
                 let mut items = Vec::new();
                 for _ in 0..count.unwrap_or(0) {
-                    match self.value(depth + 1)? {
+                    match self.read_value(depth + 1)? {
                         None => return Ok(None),
                         Some(item) => items.push(item),
                     }
@@ -154,9 +165,9 @@
                 Ok(Some(Value::Array(items)))
             }
             b'+' | b'-' | b':' => {
-                let Some(line) = self.line(MAX_LINE)? else { return Ok(None) };
+                let Some(line) = self.read_line(MAX_LINE_BYTES)? else { return Ok(None) };
                 let text = &line[1..];
-                Ok(Some(match mark {
+                Ok(Some(match type_byte {
                     b'+' => Value::SimpleString(Bytes::copy_from_slice(text)),
                     b'-' => Value::Error(Bytes::copy_from_slice(text)),
                     _ => {
@@ -170,86 +181,88 @@
     }
 }
 
-/// Passes over commands without keeping them, in whatever pieces they come.
+/// Skips commands without keeping them; the input may be split anywhere.
 #[derive(Default)]
 pub struct CommandSkipper {
-    /// What there is of a line that states a length.
-    line: Vec<u8>,
-    /// Words that the present command still has.
-    words: usize,
-    /// Bytes that the present word still has, the end of its line included.
-    left: usize,
-    /// Commands that were whole.
+    /// The part of a line with a length that has arrived so far.
+    length_line: Vec<u8>,
+    /// Arguments of the present command that have not been skipped yet.
+    remaining_arguments: usize,
+    /// Bytes of the present argument that have not been skipped yet, its line end included.
+    remaining_bytes: usize,
+    /// Number of complete commands that were skipped.
     pub skipped_commands: u64,
 }
 
 impl CommandSkipper {
-    /// Whether a command has begun that is not whole.
+    /// Whether a command has begun and is incomplete.
     pub fn has_partial_command(&self) -> bool {
-        self.words > 0 || !self.line.is_empty()
+        self.remaining_arguments > 0 || !self.length_line.is_empty()
     }
 
-    /// Passes over a piece; tells where in it the last command ended.
+    /// Skips a piece of input; returns the position in it where the last command ended, or 0.
     pub fn skip(&mut self, piece: &[u8]) -> Result<usize, ProtocolError> {
-        let (mut at, mut end) = (0, 0);
-        while at < piece.len() {
-            if self.left > 2 {
-                let content = (self.left - 2).min(piece.len() - at);
-                (at, self.left) = (at + content, self.left - content);
+        let (mut position, mut command_end) = (0, 0);
+        while position < piece.len() {
+            if self.remaining_bytes > 2 {
+                let content = (self.remaining_bytes - 2).min(piece.len() - position);
+                (position, self.remaining_bytes) = (position + content, self.remaining_bytes - content);
                 continue;
             }
-            if self.left == 0 {
-                at += self.length(&piece[at..])?;
+            if self.remaining_bytes == 0 {
+                position += self.read_length_line(&piece[position..])?;
                 continue;
             }
-            if piece[at] != b"\n\r"[self.left - 1] {
-                return Err(UNENDED);
+            if piece[position] != b"\n\r"[self.remaining_bytes - 1] {
+                return Err(UNTERMINATED_BULK);
             }
-            (at, self.left) = (at + 1, self.left - 1);
-            if self.left == 0 {
-                self.words -= 1;
+            (position, self.remaining_bytes) = (position + 1, self.remaining_bytes - 1);
+            if self.remaining_bytes == 0 {
+                self.remaining_arguments -= 1;
             }
-            if self.words == 0 {
-                (self.skipped_commands, end) = (self.skipped_commands + 1, at);
+            if self.remaining_arguments == 0 {
+                (self.skipped_commands, command_end) = (self.skipped_commands + 1, position);
             }
         }
-        Ok(end)
+        Ok(command_end)
     }
 
-    /// Reads a line that states a length, which may have begun before; tells how many bytes are done with.
-    fn length(&mut self, bytes: &[u8]) -> Result<usize, ProtocolError> {
-        let before = self.line.len();
-        self.line.extend_from_slice(&bytes[..bytes.len().min(MAX_LENGTH_LINE + 2 - before)]);
-        let mut scan = Scan { bytes: &self.line, at: 0, longest: MAX_VALUE_BYTES };
-        let known = match self.words {
-            0 => scan.count()?.map(|count| (count, 0)),
-            words => match scan.length(b'$', MAX_VALUE_BYTES)? {
-                Some(length) => Some((words, length.ok_or(NULL)? + 2)),
+    /// Reads a line with a length, which may have begun in an earlier piece; returns the number of bytes
+    /// consumed.
+    fn read_length_line(&mut self, input: &[u8]) -> Result<usize, ProtocolError> {
+        let earlier_bytes = self.length_line.len();
+        self.length_line
+            .extend_from_slice(&input[..input.len().min(MAX_LENGTH_LINE_BYTES + 2 - earlier_bytes)]);
+        let mut parser = Parser { input: &self.length_line, position: 0, max_bulk_bytes: MAX_VALUE_BYTES };
+        let progress = match self.remaining_arguments {
+            0 => parser.read_argument_count()?.map(|count| (count, 0)),
+            arguments => match parser.read_length(b'$', MAX_VALUE_BYTES)? {
+                Some(length) => Some((arguments, length.ok_or(NULL_IN_COMMAND)? + 2)),
                 None => None,
             },
         };
-        let Some(known) = known else { return Ok(self.line.len() - before) };
-        (self.words, self.left) = known;
-        let done = scan.at - before;
-        self.line.clear();
-        Ok(done)
+        let Some(progress) = progress else { return Ok(self.length_line.len() - earlier_bytes) };
+        (self.remaining_arguments, self.remaining_bytes) = progress;
+        let consumed = parser.position - earlier_bytes;
+        self.length_line.clear();
+        Ok(consumed)
     }
 }
 
-/// Adds a bulk string.
-pub fn put_bulk(out: &mut BytesMut, value: &[u8]) {
-    out.put_slice(format!("${}\r\n", value.len()).as_bytes());
-    out.put_slice(value);
-    out.put_slice(b"\r\n");
+/// Appends a bulk string to `output`.
+pub fn put_bulk(output: &mut BytesMut, value: &[u8]) {
+    output.put_slice(format!("${}\r\n", value.len()).as_bytes());
+    output.put_slice(value);
+    output.put_slice(b"\r\n");
 }
 
-/// A command of some words.
-pub fn encode_command(words: &[&[u8]]) -> Bytes {
-    let size = words.iter().map(|word| word.len() + 16).sum::<usize>() + 16;
-    let mut out = BytesMut::with_capacity(size);
-    out.put_slice(format!("*{}\r\n", words.len()).as_bytes());
-    words.iter().for_each(|word| put_bulk(&mut out, word));
-    out.freeze()
+/// Encodes a command as an array of bulk strings.
+pub fn encode_command(arguments: &[&[u8]]) -> Bytes {
+    let size = arguments.iter().map(|argument| argument.len() + 16).sum::<usize>() + 16;
+    let mut output = BytesMut::with_capacity(size);
+    output.put_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    arguments.iter().for_each(|argument| put_bulk(&mut output, argument));
+    output.freeze()
 }
 
 #[cfg(test)]
