--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -25,7 +25,7 @@
 
     /// Returns a function that turns an answer into a held one. The server closes the connection after the
     /// answer, so that the end of the connection shows that all of it was sent.
-    fn blocking_action(&self) -> impl Fn(Vec<u8>) -> ServerAction + Send + Clone + 'static {
+    fn hold_answer_fn(&self) -> impl Fn(Vec<u8>) -> ServerAction + Send + Clone + 'static {
         let release_signals = self.release_signals.clone();
         move |bytes| {
             ServerAction::AnswerAfterThenClose(
@@ -126,13 +126,13 @@
 }
 
 #[test]
-fn no_miss_is_fetched_after_its_client_disconnects_with_a_full_pipeline() {
+fn no_fetch_follows_a_miss_after_its_client_disconnects_with_a_full_pipeline() {
     for disconnect_case in DISCONNECT_CASES {
         let held_answers = HeldAnswers::new();
-        let respond = held_answers.blocking_action();
+        let hold_answer = held_answers.hold_answer_fn();
         let cache = cache_server(move |parts| match parts[1].as_str() {
             "free" => ServerAction::Answer(hit("free")),
-            _ => respond(miss()),
+            _ => hold_answer(miss()),
         });
         let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
         let known_list = list_of_one_cache(cache.address, origin.address);
@@ -155,9 +155,9 @@
 fn no_failed_read_is_retried_after_its_client_disconnects_with_a_full_pipeline() {
     for disconnect_case in DISCONNECT_CASES {
         let held_answers = HeldAnswers::new();
-        let respond = held_answers.blocking_action();
+        let hold_answer = held_answers.hold_answer_fn();
         let cache = cache_server(move |parts| match parts[1].as_str() {
-            "aa" => respond(Vec::new()),
+            "aa" => hold_answer(Vec::new()),
             key => ServerAction::Answer(hit(key)),
         });
         let known_list = list_of_one_cache(cache.address, failing_origin().address);
@@ -178,11 +178,11 @@
 fn no_write_waiting_for_the_gate_is_sent_after_its_client_disconnects() {
     for disconnect_case in DISCONNECT_CASES {
         let held_answers = HeldAnswers::new();
-        let respond = held_answers.blocking_action();
+        let hold_answer = held_answers.hold_answer_fn();
         let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
         let origin = origin_server(move |parts| match parts[0].as_str() {
             "PUT /mark HTTP/1.1" => ServerAction::Answer(http_response(200, "", "made")),
-            _ => respond(http_response(200, "", "made")),
+            _ => hold_answer(http_response(200, "", "made")),
         });
         let known_list = list_of_one_cache(cache.address, origin.address);
         // 10 writes are in flight: as many as the gate lets through at first.
@@ -223,9 +223,9 @@
 #[test]
 fn pipelined_commands_beyond_the_buffer_limit_are_read_and_shed_in_order() {
     let held_answers = HeldAnswers::new();
-    let respond = held_answers.blocking_action();
+    let hold_answer = held_answers.hold_answer_fn();
     let cache = cache_server(move |parts| match parts[1].as_str() {
-        "aa" => respond(hit("held")),
+        "aa" => hold_answer(hit("held")),
         key => ServerAction::Answer(hit(key)),
     });
     let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn requests_of_clients_that_disconnect_before_they_are_read_are_not_forwarded() {
+fn requests_not_yet_read_when_their_client_disconnects_are_not_forwarded() {
     for pinged_before in [true, false] {
         let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
         let (discovery, _updates, _calls) = idle_discovery();
@@ -260,12 +260,10 @@
         };
         let mut clients: Vec<_> = (0..20).filter(|_| pinged_before).map(|_| pinged_client()).collect();
         // Opens connections to the cache server. After 100 ms without use they can carry a request at once.
-        let mut warming_client = node.connect_client();
-        warming_client.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
-        assert!(
-            (0..16).all(|_| warming_client.read_answer().unwrap() == "warm"
-                && cache.next_request().parts[1] == "warm")
-        );
+        let mut pool_filling_client = node.connect_client();
+        pool_filling_client.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
+        assert!((0..16).all(|_| pool_filling_client.read_answer().unwrap() == "warm"
+            && cache.next_request().parts[1] == "warm"));
         std::thread::sleep(Duration::from_millis(100));
         // The node sees all of it in one iteration of its event loop.
         node.while_stopped(|| {
--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -25,7 +25,7 @@
     /// Sends the first 30 bytes of a read.
     PartialCommand,
     /// Sends invalid input, up to 1 MiB at a time, for 0.8 s, then closes the connection.
-    SendMegabyte,
+    InvalidInput,
 }
 
 /// Peers that fill the node's connection slots. A thread reconnects each as soon as its connection is closed.
@@ -63,8 +63,8 @@
                         PeerKind::PingEachSecond if age % 10 == 1 => stream.write(&ping),
                         PeerKind::SlowSender if age % 10 == 1 => stream.write(&ping[age / 10 % 14..][..1]),
                         PeerKind::PartialCommand if age == 1 => stream.write(&get("aa", "half")[..30]),
-                        PeerKind::SendMegabyte if age < 8 => stream.write(&megabyte),
-                        PeerKind::SendMegabyte => {
+                        PeerKind::InvalidInput if age < 8 => stream.write(&megabyte),
+                        PeerKind::InvalidInput => {
                             *slot = None;
                             Ok(0)
                         }
@@ -86,8 +86,8 @@
     }
 }
 
-/// Reserves an address for discovery at which connections are refused until [`resume_discovery`].
-fn refusing_discovery() -> (Socket, SocketAddr) {
+/// Reserves an address for discovery at which connections are refused until [`start_discovery_on`].
+fn reserve_discovery_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
@@ -95,7 +95,7 @@
 }
 
 /// Starts discovery at its reserved address. It answers every call with a watch that delivers `list`.
-fn resume_discovery(socket: Socket, list: String) {
+fn start_discovery_on(socket: Socket, list: String) {
     socket.listen(64).unwrap();
     std::thread::spawn(move || {
         for mut stream in TcpListener::from(socket).incoming().flatten() {
@@ -164,18 +164,18 @@
 fn measure_peer_kind(kind: PeerKind, pushed: bool) {
     let server = |name: &'static str| cache_server(move |_| ServerAction::Answer(hit(name)));
     let (first_server, second_server, origin) = (server("first"), server("second"), failing_origin());
-    let (socket, discovery) = refusing_discovery();
+    let (socket, discovery) = reserve_discovery_address();
     let known_list = list_of_one_cache(first_server.address, origin.address);
     let mut settings = default_settings().to_string();
     if pushed {
         settings = settings.replace(r#""discovery":"ask""#, r#""discovery":"push""#);
     }
     let mut node = Node::start_with_settings(discovery, &known_list, (256, 32), "ulimit -n 256;", &settings);
-    let stop = Arc::new(AtomicBool::new(false));
-    start_steady_client(&node, stop.clone());
+    let stop_steady_client = Arc::new(AtomicBool::new(false));
+    start_steady_client(&node, stop_steady_client.clone());
     let peer_group = PeerGroup::connect(node.address, kind, 400);
     std::thread::sleep(Duration::from_secs(3));
-    let count = |node: &Node| {
+    let count_results = |node: &Node| {
         let clients: Vec<_> = (0..200)
             .map(|id| {
                 std::thread::sleep(Duration::from_millis(20));
@@ -187,7 +187,7 @@
         let count = |what| results.iter().filter(|result| **result == what).count();
         ["answered", "shed", "closed", "unanswered", "not accepted", "error"].map(count)
     };
-    let running = count(&node);
+    let running_results = count_results(&node);
     let (kib, descriptors) = (node.resident_kib(), node.descriptor_count());
     let mut ready_times: Vec<_> = (0..5)
         .map(|_| {
@@ -200,29 +200,29 @@
         })
         .collect();
     ready_times.sort();
-    let restarted = count(&node);
-    stop.store(true, Ordering::Relaxed);
-    let stop = Arc::new(AtomicBool::new(false));
+    let restarted_results = count_results(&node);
+    stop_steady_client.store(true, Ordering::Relaxed);
+    let stop_requests = Arc::new(AtomicBool::new(false));
     let entries = [
         server_entry("s-2", second_server.address, "std", "active"),
         server_entry("o-1", origin.address, "origin", "active"),
     ];
     let start = Instant::now();
-    resume_discovery(socket, server_list(9, true, &entries));
+    start_discovery_on(socket, server_list(9, true, &entries));
     let node_address = node.address;
-    let stop_signal = stop.clone();
-    let list_client = std::thread::spawn(move || {
+    let stop_signal = stop_requests.clone();
+    let request_thread = std::thread::spawn(move || {
         (0..)
             .map(|id| request_on_new_connection(node_address, &format!("l{id}")))
             .take_while(|_| !stop_signal.load(Ordering::Relaxed))
             .count()
     });
     let list_delay = second_server.events.recv_timeout(LONG_TIMEOUT).map(|_| start.elapsed().as_secs_f64());
-    stop.store(true, Ordering::Relaxed);
-    list_client.join().unwrap();
+    stop_requests.store(true, Ordering::Relaxed);
+    request_thread.join().unwrap();
     println!(
-        "{:16} {:4} running {running:3?} {kib} KiB {descriptors} files, \
-         restarted {restarted:3?} {} KiB {} files, \
+        "{:16} {:4} running {running_results:3?} {kib} KiB {descriptors} files, \
+         restarted {restarted_results:3?} {} KiB {} files, \
          ready {:.2?} to {:.2?}, list {:.1?} s",
         format!("{kind:?}"),
         if pushed { "push" } else { "ask" },
@@ -250,7 +250,7 @@
         PeerKind::PingEachSecond,
         PeerKind::SlowSender,
         PeerKind::PartialCommand,
-        PeerKind::SendMegabyte,
+        PeerKind::InvalidInput,
     ];
     for pushed in [false, true] {
         std::thread::scope(|scope| {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn silent_peers_get_an_error_in_time_even_if_they_exceed_the_connection_slots() {
+fn silent_peers_get_an_error_in_time_even_if_they_outnumber_the_connection_slots() {
     let (node, _cache) = start_small_node();
     // If each set of peers that fits kept its slots for the full time limit, this would take 11 s.
     let start = Instant::now();
@@ -347,14 +347,14 @@
         "aa",
         "a client is answered though no peer has closed its connection"
     );
-    let first_peer = &mut peers[0];
+    let oldest_peer = &mut peers[0];
     assert_eq!(
-        first_peer.stream.peek(&mut [0; 16]).unwrap(),
+        oldest_peer.stream.peek(&mut [0; 16]).unwrap(),
         7,
         "the oldest connection gets `-BUSY` and a line end"
     );
-    first_peer.send(&get("crossing", "2"));
-    assert_eq!((first_peer.read_answer().as_deref(), first_peer.read_answer()), (Some("-BUSY"), None));
+    oldest_peer.send(&get("crossing", "2"));
+    assert_eq!((oldest_peer.read_answer().as_deref(), oldest_peer.read_answer()), (Some("-BUSY"), None));
     assert_eq!(node.connect_client().request(&get("bb", "3")).unwrap(), "bb");
     let mut events =
         std::iter::from_fn(|| cache.events.try_recv().ok()).filter(|event| !event.parts.is_empty());
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn idle_clients_are_closed_before_they_use_up_the_third_of_descriptors_for_clients() {
+fn idle_clients_are_closed_when_clients_hold_a_third_of_the_descriptors() {
     let (node, _cache) = start_small_node();
     let mut clients: Vec<_> = (0..21).map(|_| node.connect_client()).collect();
     let start = Instant::now();
@@ -407,7 +407,7 @@
 fn node_restarted_under_connection_pressure_gets_ready_and_applies_the_list_of_a_recovered_discovery() {
     for pushed in [false, true] {
         let caches = ["first", "second"].map(|name| cache_server(move |_| ServerAction::Answer(hit(name))));
-        let (socket, discovery) = refusing_discovery();
+        let (socket, discovery) = reserve_discovery_address();
         let settings = match pushed {
             true => default_settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#),
             false => default_settings().into(),
@@ -418,14 +418,14 @@
         node.kill_and_restart();
         // Three times as many peers as there are slots connect before the node accepts the first one. If each
         // set that fits kept its slots for the full time limit of 2.2 s, readiness would take 6.6 s.
-        let connect_clients =
+        let connect_peers_and_client =
             || ((0..100).map(|_| node.connect_client()).collect::<Vec<_>>(), node.connect_client());
-        let (_peers, mut client) = node.while_stopped(connect_clients);
+        let (_peers, mut client) = node.while_stopped(connect_peers_and_client);
         let start = Instant::now();
         assert_eq!(client.request(&command(&["PING"])).unwrap(), "+PONG");
         assert!(start.elapsed() < Duration::from_secs(6));
         let _peer_group = PeerGroup::connect(node.address, PeerKind::PingEachSecond, 100);
-        resume_discovery(
+        start_discovery_on(
             socket,
             server_list(9, true, &[server_entry("s-2", caches[1].address, "std", "active")]),
         );
@@ -449,15 +449,15 @@
             sockets,
             "",
         );
-        let mut peak = 0;
+        let mut peak_descriptors = 0;
         let mut peers = Vec::new();
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
             assert!(answer.is_some(), "the client is answered after {id} other peers");
-            peak = peak.max(node.descriptor_count());
+            peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
-        assert!(peak <= sockets, "{peak} descriptors of {sockets} allowed");
+        assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
     }
 }
 
@@ -474,7 +474,7 @@
             "",
         );
         calls.recv_timeout(LONG_TIMEOUT).expect("the node opens its watch");
-        let mut peak = 0;
+        let mut peak_descriptors = 0;
         let mut peers = Vec::new();
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
@@ -486,8 +486,8 @@
             }
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
             assert!(answer.is_some(), "the client is answered after {id} other peers");
-            peak = peak.max(node.descriptor_count());
+            peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
-        assert!(peak <= sockets, "{peak} descriptors of {sockets} allowed");
+        assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
     }
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -31,17 +31,24 @@
     let invalid = [watch_head(), chunk("{\"index\":\"seven\",\"endpoints\":[{}]}\n")].concat();
     let failed_answers =
         vec![b"HTTP/1.1 503 Busy\r\n\r\n".to_vec(), b"HTTP/1.1 20".to_vec(), Vec::new(), truncated, invalid];
-    let count = failed_answers.len();
-    let scripts = failed_answers.into_iter().chain([[watch_head(), chunk(&list)].concat()]).collect();
-    let (discovery, _updates, calls) = discovery_server(scripts);
+    let failure_count = failed_answers.len();
+    let answers = failed_answers.into_iter().chain([[watch_head(), chunk(&list)].concat()]).collect();
+    let (discovery, _updates, calls) = discovery_server(answers);
     let node = Node::start(discovery, r#"{"index":0,"snapshot":true,"endpoints":[]}"#);
-    for _ in 0..count {
+    for _ in 0..failure_count {
         let line = next_retry_line(&node.log);
         assert!(line.contains("turned a call away, or the watch broke"), "{line}");
     }
-    assert_eq!(calls.iter().take(count + 1).count(), count + 1, "all failed calls and the answered one");
-    let ready = || node.connect_client().request(&get("aa", "1")).unwrap() == "aa";
-    assert!(std::iter::repeat_with(ready).take(100_000).any(|ready| ready), "the list is in force");
+    assert_eq!(
+        calls.iter().take(failure_count + 1).count(),
+        failure_count + 1,
+        "all failed calls and the answered one"
+    );
+    let is_list_in_force = || node.connect_client().request(&get("aa", "1")).unwrap() == "aa";
+    assert!(
+        std::iter::repeat_with(is_list_in_force).take(100_000).any(|in_force| in_force),
+        "the list is in force"
+    );
 }
 
 #[test]
@@ -58,7 +65,7 @@
 }
 
 #[test]
-fn refused_connections_do_not_lengthen_the_backoff_to_discovery() {
+fn refused_connections_do_not_lengthen_the_delay_before_the_next_discovery_call() {
     // The socket is bound but does not listen yet, so connections are refused.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -170,7 +170,7 @@
 // A node counts as notified of a discovery's list 4 s after the signal, and 6 s after the list became
 // available there. One more refusal, at 12.4 s, would have been one too many.
 #[test]
-fn node_refused_in_an_outage_applies_a_drain_in_time_after_discovery_moves() {
+fn node_whose_calls_were_refused_in_an_outage_applies_a_drain_in_time_after_discovery_moves() {
     let upstreams = Upstreams::new();
     let outage = (0..8).map(|_| vec![refuse_call(), Step::Close]).collect();
     let (old_discovery, calls) = scripted_discovery(outage);
@@ -194,7 +194,7 @@
 // queue for up to 0.9 s or was refused. A node's log has answers at 89.5, 90.5 and 91.4 s, each to another
 // address, and none in between.
 #[test]
-fn watch_delivers_drains_until_its_replacement_is_answered() {
+fn watch_delivers_drains_until_the_call_that_replaces_it_is_answered() {
     let upstreams = Upstreams::new();
     let (node, start_drain, _old_calls) = upstreams.start_watching();
     let (new_discovery, new_calls) = scripted_discovery(vec![Vec::new()]);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn watch_is_closed_and_ignored_once_its_replacement_is_answered() {
+fn watch_is_closed_and_ignored_once_the_call_that_replaces_it_is_answered() {
     let upstreams = Upstreams::new();
     let (node, start_drain, old_calls) = upstreams.start_watching();
     let entries = [
@@ -242,25 +242,25 @@
     let upstreams = Upstreams::new();
     let whole_list = chunk(&upstreams.list_with_drain());
     let cut_at = whole_list.windows(3).position(|part| part == b"s-2").unwrap();
-    for stays_open in [false, true] {
+    for connection_stays_open in [false, true] {
         let mut script = vec![
             Step::Send(watch_head()),
             Step::Send(chunk("\n")),
             Step::Send(whole_list[..cut_at].to_vec()),
         ];
-        if !stays_open {
+        if !connection_stays_open {
             script.push(Step::Close);
         }
         let (discovery, calls) = scripted_discovery(vec![script]);
         let node = upstreams.start(discovery);
         calls.recv_timeout(LONG_TIMEOUT).expect("the node opens its watch");
         // The node gives up a list of which nothing more arrives after 2.5 s.
-        let wait_time = Duration::from_millis(if stays_open { 3_500 } else { 1_000 });
+        let wait_time = Duration::from_millis(if connection_stays_open { 3_500 } else { 1_000 });
         send_reads_until(&node, Instant::now(), wait_time);
         assert_eq!(
             count_reads_from_first(&node),
             0,
-            "reads sent to a draining server; connection stays open: {stays_open}"
+            "reads sent to a draining server; connection stays open: {connection_stays_open}"
         );
     }
 }
@@ -361,20 +361,20 @@
 #[test]
 fn server_that_moves_while_a_connection_is_being_set_up_gets_no_request_at_its_old_address() {
     let full_backlog_server = FullBacklogServer::new();
-    let second = cache_server(|_| ServerAction::Answer(hit("second")));
+    let new_address_server = cache_server(|_| ServerAction::Answer(hit("second")));
     let (node, updates, mut client) = start_node_connecting_to(&full_backlog_server);
-    let moved_entry = server_entry("s-1", second.address, "std", "active");
+    let moved_entry = server_entry("s-1", new_address_server.address, "std", "active");
     updates.send(chunk(&server_list(6, false, &[moved_entry]))).unwrap();
     let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("s-1 moved")), "the list is in force");
-    let first = full_backlog_server.start_accepting(|_| ServerAction::Answer(hit("first")));
+    let old_address_server = full_backlog_server.start_accepting(|_| ServerAction::Answer(hit("first")));
     assert_eq!(
         client.read_answer().unwrap(),
         "second",
         "the server has moved when the connection is established"
     );
     assert!(
-        first.events.try_iter().all(|event| event.parts.is_empty()),
+        old_address_server.events.try_iter().all(|event| event.parts.is_empty()),
         "no request is sent to the former address"
     );
 }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn hits_misses_and_writes_are_answered_and_only_the_d_fact_changes() {
+fn hits_misses_and_writes_are_answered_and_forwarded_with_only_the_deadline_changed() {
     let cache =
         cache_server(|parts| ServerAction::Answer(if parts[1] == "aa" { hit("kept") } else { miss() }));
     let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn request_id_in_use_by_another_client_is_rejected_until_it_is_answered() {
+fn reusing_the_id_of_an_open_request_is_rejected_until_that_request_is_answered() {
     let (release, release_signal) = channel();
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
     let cache = cache_server(move |parts| match release_signal.lock().unwrap().take() {
@@ -233,13 +233,13 @@
 }
 
 #[test]
-fn clients_without_a_complete_command_lose_their_connection_slots_in_time() {
+fn clients_that_send_no_complete_command_lose_their_connection_slots_within_the_time_limit() {
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
     let node = Node::start_with_limits(discovery, &list_of_one_cache(cache.address, origin.address), 64, "");
-    let mut known_client = node.connect_client();
-    assert_eq!(known_client.request(&get("aa", "1")).unwrap(), "aa");
+    let mut earlier_client = node.connect_client();
+    assert_eq!(earlier_client.request(&get("aa", "1")).unwrap(), "aa");
     let start = std::time::Instant::now();
     // Fewer than there are slots, so that none is closed early to make room.
     let mut silent_clients: Vec<_> = (0..26).map(|_| node.connect_client()).collect();
@@ -254,7 +254,7 @@
     });
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(
-        known_client.request(&get("bb", "3")).unwrap(),
+        earlier_client.request(&get("bb", "3")).unwrap(),
         "bb",
         "a client with an earlier request is still answered"
     );
@@ -381,9 +381,9 @@
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
     let hang_flag = Arc::new(AtomicBool::new(false));
     let mut has_answered = false; // Each connection has its own copy.
-    let (connections_hang, cache_release_signal) = (hang_flag.clone(), release_signal.clone());
+    let (cache_hang_flag, cache_release_signal) = (hang_flag.clone(), release_signal.clone());
     let cache = cache_server(move |parts| {
-        if has_answered && connections_hang.load(Ordering::SeqCst) {
+        if has_answered && cache_hang_flag.load(Ordering::SeqCst) {
             return ServerAction::Hang;
         }
         has_answered = true;
@@ -448,11 +448,11 @@
     updates.send(chunk(&update)).unwrap();
     // The change has arrived once all keys, those of the first server too, are read from the second.
     let mut read_count = 0;
-    let mut consecutive_second = 0;
-    while consecutive_second < 40 {
+    let mut consecutive_from_second = 0;
+    while consecutive_from_second < 40 {
         read_count += 1;
         let answer = client.request(&get(&format!("{:x}", read_count % 40), "2")).unwrap();
-        consecutive_second = if answer == "second" { consecutive_second + 1 } else { 0 };
+        consecutive_from_second = if answer == "second" { consecutive_from_second + 1 } else { 0 };
         assert!(read_count < 100_000, "the change takes effect");
     }
 }
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn push_mode_reopens_the_watch_and_the_node_is_ready_after_its_first_list() {
+fn node_with_pushed_lists_reopens_a_failed_watch_and_is_ready_after_its_first_list() {
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let refusal = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_vec();
@@ -600,7 +600,7 @@
 }
 
 #[test]
-fn answers_longer_than_the_client_value_limit_are_forwarded() {
+fn answers_longer_than_the_limit_for_client_values_are_forwarded() {
     // Guards against a limit for clients' values that also applied to answers: in a run with slow clients a
     // quarter of the answers exceeded it and were treated as malformed.
     let long_value = "v".repeat(400_000);
--- a/tests/node/stand_ins.rs
+++ b/tests/node/stand_ins.rs
@@ -79,7 +79,7 @@
 pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: Socket,
-    queued: Vec<TcpStream>,
+    backlog_streams: Vec<TcpStream>,
 }
 
 impl FullBacklogServer {
@@ -89,9 +89,9 @@
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        let queued: Vec<_> = std::iter::from_fn(connect).take(8).collect();
-        assert!(!queued.is_empty() && queued.len() < 8, "the listen backlog is full");
-        FullBacklogServer { address, listener, queued }
+        let backlog_streams: Vec<_> = std::iter::from_fn(connect).take(8).collect();
+        assert!(!backlog_streams.is_empty() && backlog_streams.len() < 8, "the listen backlog is full");
+        FullBacklogServer { address, listener, backlog_streams }
     }
 
     /// Accepts the connections that fill the backlog and waits for the next one, whose SYN the kernel sends
@@ -103,7 +103,7 @@
         // If the node has given up connecting, the test must fail and not hang.
         self.listener.set_read_timeout(Some(3 * LONG_TIMEOUT)).unwrap();
         let accept = || TcpStream::from(self.listener.accept().expect("the node keeps trying to connect").0);
-        let accepted: Vec<_> = (0..=self.queued.len()).map(|_| accept()).collect();
+        let accepted: Vec<_> = (0..=self.backlog_streams.len()).map(|_| accept()).collect();
         self.listener.set_read_timeout(None).unwrap();
         self.listener.listen(64).unwrap();
         start_stand_in_on(self.listener.into(), accepted, read_command, respond)
@@ -252,22 +252,22 @@
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Starts a discovery service that answers each call with the next of `scripts`. The call that gets the last
-/// script stays open; it carries what comes through the returned sender, and an empty line after each second
+/// Starts a discovery service that answers each call with the next of `answers`. The call that gets the last
+/// answer stays open; it carries what comes through the returned sender, and an empty line after each second
 /// without any. The receiver gets the request line of each call.
-pub fn discovery_server(scripts: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
+pub fn discovery_server(answers: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (updates, update_receiver) = channel::<Vec<u8>>();
     let (call_sender, calls) = channel();
     std::thread::spawn(move || {
-        let count = scripts.len();
-        for (number, (script, stream)) in scripts.into_iter().zip(listener.incoming().flatten()).enumerate() {
+        let count = answers.len();
+        for (number, (answer, stream)) in answers.into_iter().zip(listener.incoming().flatten()).enumerate() {
             let mut writer = stream.try_clone().unwrap();
             let mut reader = BufReader::new(stream);
             let request = read_http_request(&mut reader).unwrap_or_default();
             let _ = call_sender.send(request.first().cloned().unwrap_or_default());
-            let _ = writer.write_all(&script);
+            let _ = writer.write_all(&answer);
             if number + 1 < count {
                 continue;
             }
--- a/tests/node/system_calls.c
+++ b/tests/node/system_calls.c
@@ -22,9 +22,9 @@
 
 /* Returns how many bytes a call may transfer; 0 if the call is to fail with EINTR. */
 static size_t allowed_length(size_t length) {
-    unsigned percentile = next_random(100);
-    if (percentile < 10) return 0;
-    return percentile < 20 && length > 1 ? 1 + next_random(length < 40 ? (unsigned)length : 40) : length;
+    unsigned random_percent = next_random(100);
+    if (random_percent < 10) return 0;
+    return random_percent < 20 && length > 1 ? 1 + next_random(length < 40 ? (unsigned)length : 40) : length;
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -24,14 +24,14 @@
         let known_list = list_of_one_cache(cache.address, origin.address);
         let node =
             Node::start_with_settings(discovery, &known_list, (256, 16), &shell_prefix, default_settings());
-        for id in 0..10 {
+        for client_index in 0..10 {
             let mut client = node.connect_client();
-            for (request, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
-                let answer = client.request(&get(key, &format!("{id}-{request}")));
+            for (request_index, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
+                let answer = client.request(&get(key, &format!("{client_index}-{request_index}")));
                 assert_eq!(
                     answer.as_ref(),
                     Some(&long_value),
-                    "request {request} of client {id}, seed {seed}"
+                    "request {request_index} of client {client_index}, seed {seed}"
                 );
             }
         }
