--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -29,7 +29,10 @@
 }
 
 /// Peers that fill the node's connection slots. A thread reconnects each as soon as its connection is closed.
-struct PeerGroup(Arc<AtomicBool>, Option<std::thread::JoinHandle<()>>);
+struct PeerGroup {
+    stop: Arc<AtomicBool>,
+    thread: Option<std::thread::JoinHandle<()>>,
+}
 
 impl PeerGroup {
     fn connect(node_address: SocketAddr, kind: PeerKind, count: usize) -> PeerGroup {
@@ -75,14 +78,14 @@
                 tick += 1;
             }
         });
-        PeerGroup(stop, Some(thread))
+        PeerGroup { stop, thread: Some(thread) }
     }
 }
 
 impl Drop for PeerGroup {
     fn drop(&mut self) {
-        self.0.store(true, Ordering::Relaxed);
-        self.1.take().map(|thread| thread.join());
+        self.stop.store(true, Ordering::Relaxed);
+        self.thread.take().map(|thread| thread.join());
     }
 }
 
