--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -1,5 +1,7 @@
-//! Tests of clients that disconnect while their requests wait: none of these requests may be sent to a server
-//! any more, wherever in the node it waited.
+//! Tests of clients that disconnect while their requests wait: none of these requests may be sent to a
+//! server any more, wherever in the node it waited. After the disconnect most tests send a marker request,
+//! whose key or id is `mark`, and check that a server receives no further request of the disconnected
+//! client before it.
 
 use std::net::Shutdown;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -49,7 +51,8 @@
 enum Disconnect {
     /// It shuts down its sending side, and waits until the node closes the connection.
     HalfClose,
-    /// It resets the connection. The node has noticed once the id of the request is free again.
+    /// It resets the connection, and waits until another client may use the id of its request, which shows
+    /// that the node has noticed.
     Reset,
 }
 
@@ -58,7 +61,8 @@
 enum PipelinedInput {
     /// More requests, which fit into the kernel's socket buffers.
     FitsBuffers,
-    /// More requests than the socket buffers hold: the node sees the client's end only as it reads on.
+    /// More requests than the socket buffers hold: the node receives the end of the client's input only
+    /// after it has read the requests before it.
     ExceedsBuffers,
     /// Data that is no command, more than the socket buffers hold.
     Garbage,
@@ -71,7 +75,8 @@
     (Disconnect::HalfClose, PipelinedInput::Garbage),
 ];
 
-/// Disconnects a client and waits until the node has noticed, which the held answer can't show.
+/// Disconnects a client and waits until the node has noticed. As the client's answers are held back, the sign
+/// of that is the end of the connection or an id that is free again.
 fn disconnect_and_wait(node: &Node, mut client: Client, id: &str, disconnect: Disconnect) {
     match disconnect {
         Disconnect::HalfClose => {
@@ -96,9 +101,9 @@
     }
 }
 
-/// Has a client send more requests than the node takes at once from one connection, and disconnect while
-/// `count` of them are held at a stand-in server. Then releases these, and returns the node once all of them
-/// have ended.
+/// Has a client send more requests than the node forwards at once for one connection, and disconnect while
+/// a stand-in server holds the answers to `count` of them. Then releases these answers, and returns the node
+/// once the server's connections that carried them have ended.
 fn disconnect_with_full_pipeline(
     known_list: &str,
     command_with_id: impl Fn(&str) -> Vec<u8>,
@@ -214,7 +219,8 @@
     client.send(&put("bb", "here", "v"));
     assert_eq!(origin.next_request().parts[0], "PUT /bb HTTP/1.1");
     disconnect_and_wait(&node, client, "gone", Disconnect::HalfClose);
-    // The connection that the node opened for the read is established. Only the next request may use it.
+    // The connection that the node began to open for the read is established now. Only the next request may
+    // use it.
     let cache = full_backlog_server.start_accepting(|parts| ServerAction::Answer(hit(&parts[2])));
     assert_eq!(node.connect_client().request(&get("aa", "mark")).unwrap(), "mark");
     assert_eq!(cache.next_request().parts[2], "mark", "no request of the disconnected client is sent");
@@ -234,8 +240,8 @@
     let mut client = node.connect_client();
     client.send(&get("aa", "first"));
     cache.next_request();
-    // Far more than the socket buffers of both sides hold: the last command is written only once the node
-    // reads on.
+    // Far more than the socket buffers of client and node hold: the last command is written only once the
+    // node reads on.
     client.stream.set_write_timeout(Some(LONG_TIMEOUT)).unwrap();
     let value = "v".repeat(60_000);
     (0..500).for_each(|id| client.send(&put("bb", &format!("p{id}"), &value)));
@@ -259,13 +265,14 @@
             client
         };
         let mut clients: Vec<_> = (0..20).filter(|_| pinged_before).map(|_| pinged_client()).collect();
-        // Opens connections to the cache server. After 100 ms without use they can carry a request at once.
+        // Opens connections to the cache server. After 100 ms without use they can carry a request at once,
+        // so that the node would forward requests without the delay of a new connection.
         let mut pool_filling_client = node.connect_client();
         pool_filling_client.send(&(0..16).flat_map(|id| get("warm", &format!("w{id}"))).collect::<Vec<_>>());
         assert!((0..16).all(|_| pool_filling_client.read_answer().unwrap() == "warm"
             && cache.next_request().parts[1] == "warm"));
         std::thread::sleep(Duration::from_millis(100));
-        // The node sees all of it in one iteration of its event loop.
+        // The node finds all connections, requests and disconnects in one iteration of its event loop.
         node.while_stopped(|| {
             clients.extend((clients.len()..20).map(|_| node.connect_client()));
             for (index, mut client) in clients.into_iter().enumerate() {
--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -1,5 +1,5 @@
-//! Tests of a node whose connection slots are taken by peers that send no requests: clients must still be
-//! answered, and the node must stay within its descriptor budget.
+//! Tests of a node whose connection slots are taken by peers that send no requests: clients, which do send
+//! requests, must still be answered, and the node must stay within its descriptor budget.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
-/// What a peer that sends no complete request does on its connection.
+/// What a peer, which sends no complete request, does on its connection.
 #[derive(Clone, Copy, Debug)]
 enum PeerKind {
     Silent,
@@ -22,7 +22,7 @@
     PingEachSecond,
     /// Sends one byte of a PING each second.
     SlowSender,
-    /// Sends the first 30 bytes of a read.
+    /// Sends the first 30 bytes of a read command, and never the rest.
     PartialCommand,
     /// Sends invalid input, up to 1 MiB at a time, for 0.8 s, then closes the connection.
     InvalidInput,
@@ -42,6 +42,7 @@
             let megabyte = vec![b'*'; 1 << 20];
             let ping = command(&["PING"]);
             let mut peers: Vec<Option<(TcpStream, usize)>> = (0..count).map(|_| None).collect();
+            // Counts iterations, one each 100 ms.
             let mut tick = 0;
             while !stop_signal.load(Ordering::Relaxed) {
                 for slot in &mut peers {
@@ -97,7 +98,8 @@
     (socket, address)
 }
 
-/// Starts discovery at its reserved address. It answers every call with a watch that delivers `list`.
+/// Starts discovery on a socket of [`reserve_discovery_address`]. Discovery answers every call with a watch
+/// that delivers `list`.
 fn start_discovery_on(socket: Socket, list: String) {
     socket.listen(64).unwrap();
     std::thread::spawn(move || {
@@ -114,7 +116,7 @@
     });
 }
 
-/// Sends a read on a new connection and returns its result.
+/// Sends a read on a new connection and returns the name of its result, as [`measure_peer_kind`] counts them.
 fn request_on_new_connection(node_address: SocketAddr, id: &str) -> &'static str {
     let timeout = Duration::from_secs(2);
     let Ok(mut stream) = TcpStream::connect_timeout(&node_address, timeout) else { return "not accepted" };
@@ -131,7 +133,8 @@
     }
 }
 
-/// Returns the time until a PING on a new connection is answered with +PONG. Each attempt may take a second.
+/// Returns the time until a PING on a new connection is answered with +PONG, or [`LONG_TIMEOUT`] or more if
+/// none is. An attempt may take a second to connect and a second to be answered.
 fn time_until_pong(node_address: SocketAddr) -> Duration {
     let start = Instant::now();
     let gets_pong = || -> Option<bool> {
@@ -148,7 +151,7 @@
     start.elapsed()
 }
 
-/// Starts a client that sends reads on one connection until `stop` is set.
+/// Starts a client that sends one read after another on one connection until `stop` is set.
 fn start_steady_client(node: &Node, stop: Arc<AtomicBool>) {
     let mut client = node.connect_client();
     std::thread::spawn(move || {
@@ -162,8 +165,8 @@
     });
 }
 
-/// Measures a node under pressure of one kind of peers, first while it runs on and then after it was killed
-/// and started again, and prints the results.
+/// Measures a node whose connection slots are filled by one kind of peers, before and after the node is
+/// killed and started again, and prints the results. If `pushed` is set, discovery pushes its lists.
 fn measure_peer_kind(kind: PeerKind, pushed: bool) {
     let server = |name: &'static str| cache_server(move |_| ServerAction::Answer(hit(name)));
     let (first_server, second_server, origin) = (server("first"), server("second"), failing_origin());
@@ -224,8 +227,8 @@
     stop_requests.store(true, Ordering::Relaxed);
     request_thread.join().unwrap();
     println!(
-        "{:16} {:4} running {running_results:3?} {kib} KiB {descriptors} files, \
-         restarted {restarted_results:3?} {} KiB {} files, \
+        "{:16} {:4} running {running_results:3?} {kib} KiB {descriptors} descriptors, \
+         restarted {restarted_results:3?} {} KiB {} descriptors, \
          ready {:.2?} to {:.2?}, list {:.1?} s",
         format!("{kind:?}"),
         if pushed { "push" } else { "ask" },
@@ -238,11 +241,11 @@
     drop(peer_group);
 }
 
-/// A measurement of some minutes, not a check. 400 peers of a kind fill 256 descriptors while discovery is
-/// down. Of 200 requests on new connections it counts those that are answered, shed, closed without an
-/// answer, unanswered within 2 s, not accepted by the kernel within 2 s, and answered with an error. It
-/// prints the median and the longest of five times to +PONG after a kill, and the time from discovery's
-/// return until a server of its list gets its first request.
+/// A measurement that takes some minutes and asserts nothing. 400 peers of a kind fill 256 descriptors
+/// while discovery is down. Of 200 requests on new connections it counts those that are answered, shed,
+/// closed without an answer, unanswered within 2 s, not accepted by the kernel within 2 s, and answered
+/// with an error. It prints the median and the longest of five times to +PONG after a kill, and the time
+/// from discovery's return until a server of its list gets its first request.
 #[test]
 #[ignore = "a measurement, which takes minutes"]
 fn measure_connection_pressure_of_peers_that_send_no_requests() {
@@ -279,8 +282,9 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// Starts a node with 64 descriptors and four cache servers, so that none of these gets more requests than it
-/// accepts. Until the returned sender is dropped they hold back all answers but those for the key `free`.
+/// Starts a node with 64 descriptors and four cache servers, so that no request is shed because one of
+/// these is overloaded. Until the returned sender is dropped they hold back all answers but those for the
+/// key `free`.
 pub fn start_node_with_blocked_caches() -> (Node, Sender<()>) {
     let (release, release_signal) = channel::<()>();
     let release_signal = Arc::new(Mutex::new(release_signal));
@@ -322,7 +326,7 @@
     let mut peers: Vec<_> = (0..30).map(|_| connect_and_ping(&node)).collect();
     for id in 0..40 {
         assert_eq!(node.connect_client().request(&get("aa", &id.to_string())).unwrap(), "aa");
-        // Peers that are still connected ping again, which does not make them clients.
+        // Peers that are still connected ping again, which must not make the node count them as clients.
         peers.retain_mut(|peer| {
             let _ = peer.stream.write_all(&command(&["PING"]));
             peer.read_answer().is_some_and(|line| line == "+PONG")
@@ -334,7 +338,8 @@
 #[test]
 fn silent_peers_get_an_error_in_time_even_if_they_outnumber_the_connection_slots() {
     let (node, _cache) = start_small_node();
-    // If each set of peers that fits kept its slots for the full time limit, this would take 11 s.
+    // The 150 peers are five times as many as there are slots. If each set that fits kept its slots for the
+    // full time limit of 2.2 s, this would take 11 s.
     let start = Instant::now();
     let mut peers: Vec<_> = (0..150).map(|_| node.connect_client()).collect();
     assert!(peers.iter_mut().all(|peer| peer.read_answer().is_some_and(|line| line.starts_with('-'))));
@@ -368,7 +373,7 @@
 fn open_requests_keep_their_slots_and_reach_servers_under_connection_pressure() {
     let (node, release) = start_node_with_blocked_caches();
     let _peers: Vec<_> = (0..40).map(|_| connect_and_ping(&node)).collect();
-    // A third of the 64 descriptors.
+    // 21 is a third of the 64 descriptors.
     let mut clients = connect_busy_clients(&node, 21);
     let _more_peers: Vec<_> = (0..4).map(|_| connect_and_ping(&node)).collect();
     drop(release);
@@ -397,7 +402,7 @@
         assert_eq!(client.request(&get("aa", &id.to_string())).unwrap(), "aa");
     }
     assert_eq!(clients[0].read_answer(), None, "closed while idle, though slots are left");
-    // Long before any idle connection is closed for its age.
+    // After the 2 s for which an idle connection is kept, and long before 15 s, when each idle one is closed.
     assert!(start.elapsed() >= Duration::from_secs(2) && start.elapsed() < Duration::from_secs(10));
     assert_eq!(
         clients[20].request(&get("aa", "last")).unwrap(),
@@ -482,7 +487,7 @@
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             if id % (sockets / 4) == 0 {
-                // A call that gets no answer, so that all connections that it replaces stay open.
+                // The next discovery never answers the call, so that connections of earlier calls stay open.
                 let (next_discovery, calls) = scripted_discovery(vec![Vec::new()]);
                 node.reload_config(Ok(next_discovery));
                 calls.recv_timeout(LONG_TIMEOUT).expect("the node calls the next discovery");
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -1,5 +1,5 @@
-//! Tests of failed calls to discovery: how each kind is logged, how soon the next call is made, and that a
-//! later call delivers the list.
+//! Tests of failed calls to discovery: how each kind of failure is logged, how soon the next call is made,
+//! and that a later call delivers the list.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::Receiver;
@@ -9,7 +9,7 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, list_of_one_cache};
 
-/// Waits for the next line of a node's log that says when it calls discovery again.
+/// Waits for the next line of a node's log that states the delay before the next call to discovery.
 fn next_retry_line(log: &Receiver<String>) -> String {
     let mut lines = std::iter::from_fn(|| log.recv_timeout(LONG_TIMEOUT).ok());
     lines.find(|line| line.contains("asking again")).expect("the node logs its next call")
@@ -83,6 +83,8 @@
         assert!(line.contains("can't be reached"), "{line}");
         let delay_ms: u64 =
             line.rsplit(' ').nth(1).and_then(|ms| ms.parse().ok()).expect("the line states a delay in ms");
+        // The first delay is drawn from 0.5 to 1.5 sixteenths of `askWithinUs`; later ones must not exceed
+        // that.
         assert!(delay_ms <= 4_000 / 16 * 3 / 2, "refused connections must not lengthen the delay: {line}");
     }
     socket.listen(8).unwrap();
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -1,5 +1,6 @@
-//! Tests of drain updates that arrive late, in parts or from a discovery that moves: the node must apply them
-//! in time, so that no request goes to a draining server after its grace time.
+//! Tests of drains, the list changes by which a server begins to drain, when they arrive late, in parts or
+//! from a discovery that moves: the node must apply them in time, so that no request goes to a draining
+//! server after its grace time.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -17,8 +18,8 @@
     /// Sends empty lines until a message arrives on the channel.
     SendEmptyLinesUntil(Receiver<()>),
     Send(Vec<u8>),
-    /// Sends a byte of TCP urgent data, which is not part of an answer: a read ends before it though more
-    /// data follows.
+    /// Sends a byte of TCP urgent data, which is not part of an answer. A read ends before the urgent byte,
+    /// though more data follows.
     SendUrgentByte,
     /// Waits for a message on the channel, and sends nothing meanwhile.
     WaitFor(Receiver<()>),
@@ -111,8 +112,8 @@
         Node::start_with_settings(discovery, &self.known_list(), (256, 16), "", &settings_for_six_balancers())
     }
 
-    /// Starts a node whose watch delivers the drain after a message on the returned sender. The receiver gets
-    /// the further events of its discovery.
+    /// Starts a node whose watch delivers the first server's drain after a message on the returned sender.
+    /// The receiver gets what discovery reports from then on: further calls, and [`CALL_ENDED`].
     fn start_watching(&self) -> (Node, Sender<()>, Receiver<String>) {
         let (start_drain, drain_signal) = channel();
         let watch = vec![
@@ -159,16 +160,14 @@
 
 // Guards against a backoff that outlasts an outage. Discovery was down for 15 s, and servers began to drain
 // just after its return, while new configurations moved discovery four times within 1.6 s for each of six
-// nodes. A node that had been refused four times waited eight times as long as after the first refusal,
-// although discovery had moved meanwhile and was only overloaded by then. Reads went to the draining servers
-// for longer than the grace time. Two lines of a node's log show the delay, during which all other nodes were
-// notified of the drain:
+// nodes. A node whose calls had been refused four times waited eight times as long as after the first
+// refusal, although discovery had moved meanwhile and was only overloaded by then: after a refusal at 7.9 s
+// it waited 4499 ms, and the list with three draining servers came at 12.7 s. All other nodes were notified
+// in between. Reads went to the draining servers for longer than the grace time.
 //
-//     7.911 discovery turned a call away, or the watch broke: asking again in 4499 ms
-//     12.689 server list version 1 (Full): s-4b589698 draining, s-53a634b0 draining, s-9bafd031 draining
-//
-// A node counts as notified of a discovery's list 4 s after the signal, and 6 s after the list became
-// available there. One more refusal, at 12.4 s, would have been one too many.
+// A node counts as notified of a discovery's list 4 s after the signal by which discovery moves, and 6 s
+// after the list became available there. After the refusal at 7.9 s there was no time for another one: the
+// next call was made at 12.4 s.
 #[test]
 fn node_whose_calls_were_refused_in_an_outage_applies_a_drain_in_time_after_discovery_moves() {
     let upstreams = Upstreams::new();
@@ -188,11 +187,11 @@
     assert_eq!(count_reads_from_first(&node), 0, "reads sent to a draining server 5.05 s after the signal");
 }
 
-// Guards against closing a call or a watch before its replacement is answered. New configurations arrived
-// 0.3 s apart, and each time the open call or watch was closed as the next call was made. What discovery
-// wrote to it at that moment was lost, though it counts as notified, and the next call waited in discovery's
-// queue for up to 0.9 s or was refused. A node's log has answers at 89.5, 90.5 and 91.4 s, each to another
-// address, and none in between.
+// Guards against closing a call or a watch before the call that replaces it is answered. New configurations
+// arrived 0.3 s apart, and each time the open call or watch was closed as the next call was made. An update
+// that discovery wrote to the closed connection was lost, though the node counts as notified of it, and the
+// next call waited in discovery's queue for up to 0.9 s or was refused. A node's log has answers of
+// discovery at 89.5, 90.5 and 91.4 s, each from another address, and none in between.
 #[test]
 fn watch_delivers_drains_until_the_call_that_replaces_it_is_answered() {
     let upstreams = Upstreams::new();
@@ -230,13 +229,13 @@
         CALL_ENDED,
         "the node closes the watch that was replaced"
     );
-    assert_eq!(count_reads_from_first(&node), 40, "no list of the former discovery is in force");
+    assert_eq!(count_reads_from_first(&node), 40, "the drain from the former discovery is ignored");
 }
 
-// What discovery writes counts as notified even if it arrives incomplete. A list that was truncated by a
-// reset or by the end of the connection was discarded together with the drains that had arrived. The next
-// call was made only after the backoff for a refusal, 0.3 to 0.9 s, and then had to wait in discovery's
-// queue.
+// A node counts as notified of a list once discovery has written it, even if it arrives incomplete. A list
+// that was truncated by a reset or by the end of the connection was discarded together with the drains that
+// had arrived. The next call was made only after the backoff for a refusal, 0.3 to 0.9 s, and then had to
+// wait in discovery's queue.
 #[test]
 fn drains_in_a_truncated_list_are_applied() {
     let upstreams = Upstreams::new();
@@ -254,7 +253,7 @@
         let (discovery, calls) = scripted_discovery(vec![script]);
         let node = upstreams.start(discovery);
         calls.recv_timeout(LONG_TIMEOUT).expect("the node opens its watch");
-        // The node gives up a list of which nothing more arrives after 2.5 s.
+        // The node gives up a watch 2.5 s after its last complete list or empty line.
         let wait_time = Duration::from_millis(if connection_stays_open { 3_500 } else { 1_000 });
         send_reads_until(&node, Instant::now(), wait_time);
         assert_eq!(
@@ -289,7 +288,7 @@
     calls.recv_timeout(LONG_TIMEOUT).expect("the node opens its watch");
     let mut lines = std::iter::from_fn(|| node.log.recv_timeout(LONG_TIMEOUT).ok());
     assert!(lines.any(|line| line.contains("answers after")));
-    // All of it has arrived before the node reads.
+    // The whole list arrives before the node reads any of it.
     node.while_stopped(|| {
         send_list.send(()).unwrap();
         written.recv_timeout(LONG_TIMEOUT).expect("discovery has sent the whole list");
@@ -320,9 +319,9 @@
     new_calls.recv_timeout(LONG_TIMEOUT).expect("the node calls the new discovery");
 }
 
-// With a tenth of the reads and writes interrupted and another tenth shortened, 20 of 120 drains were in
-// force more than 1.05 s after they were written, one of them after 15.7 s. An interrupted read ended the
-// watch, and after a short one the rest stayed unread.
+// With a tenth of the reads and writes interrupted and another tenth shortened, 20 of 120 drains took
+// effect more than 1.05 s after they were written, one of them after 15.7 s. An interrupted read ended the
+// watch, and after a short read the rest of the data stayed unread.
 #[test]
 fn drains_are_applied_at_once_despite_interrupted_and_short_system_calls() {
     const SERVER_COUNT: u64 = 60;
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -28,7 +28,8 @@
     server_list(5, true, &entries)
 }
 
-/// Starts a discovery service that accepts a watch and sends no list unless the test does.
+/// Starts a discovery service that accepts a watch and sends a list only if the test passes one to the
+/// returned sender.
 fn idle_discovery() -> (SocketAddr, std::sync::mpsc::Sender<Vec<u8>>, std::sync::mpsc::Receiver<String>) {
     discovery_server(vec![watch_head()])
 }
@@ -151,7 +152,7 @@
     for malformed in [unknown_class, missing_arguments, key_with_line_break, command(&["FLUSHALL"])] {
         assert!(
             other_client.request(&malformed).unwrap().starts_with("-ERR"),
-            "valid framing gets an answer"
+            "an invalid command with valid framing gets an error"
         );
         assert_eq!(other_client.request(&get("cc", "3")).unwrap(), "cc", "the connection stays open");
     }
@@ -221,7 +222,7 @@
     cache.next_request();
     let mut other_client = node.connect_client();
     assert!(other_client.request(&get("aa", "7")).unwrap().starts_with("-ERR"));
-    assert_eq!(other_client.request(&get("bb", "8")).unwrap(), "bb", "the cache server answers another id");
+    assert_eq!(other_client.request(&get("bb", "8")).unwrap(), "bb", "a request with another id is answered");
     assert_eq!(cache.next_request().parts[2], "8");
     release.send(()).unwrap();
     assert_eq!(client.read_answer().unwrap(), "mine");
@@ -327,7 +328,7 @@
     assert_eq!(
         client.request(&put("aa", "1", "v")).unwrap(),
         "ok",
-        "a body without a length ends with the connection"
+        "retried after 503, and after 504 with a body that ends with the connection"
     );
     assert_eq!(
         client.request(&put("aa", "2", "v")).unwrap(),
@@ -860,8 +861,8 @@
 
 #[test]
 fn sigterm_waits_until_the_last_client_has_its_answer() {
-    // Guards against an exit with unsent answers: in a rolling restart of 300 nodes those with a single
-    // client left exited before its answer was written.
+    // Guards against an exit with unsent answers: in a rolling restart of 300 nodes, nodes with a single
+    // client left exited before that client's answer was written.
     let value = "v".repeat(3_900_000);
     let cached = value.clone();
     let cache = cache_server(move |_| ServerAction::Answer(hit(&cached)));
@@ -871,13 +872,14 @@
     let mut node = Node::start_with_settings(discovery, &known_list, (256, 192), "", default_settings());
     let (mut client, mut idle_client) = (node.connect_client(), node.connect_client());
     assert_eq!(idle_client.request(&command(&["PING"])).unwrap(), "+PONG");
-    // More than the socket buffers between node and client hold, so that the node can't write all of it yet.
+    // The answers exceed the socket buffers between node and client, so that the node can't write all of them
+    // yet.
     client.send(&["1", "2", "3"].map(|id| get("aa", id)).concat());
     let requests: Vec<_> = (0..3).map(|_| cache.next_request()).collect();
     assert_eq!(requests.len(), 3);
     node.terminate();
     assert_eq!(idle_client.read_answer(), None, "the node has begun to close connections");
-    // Far longer than the few milliseconds in which a node without open answers exits.
+    // Far longer than the few milliseconds in which a node without unsent answers exits.
     std::thread::sleep(Duration::from_millis(300));
     for _ in 0..3 {
         assert!(client.read_answer().is_some_and(|answer| answer == value), "the answer is complete");
@@ -891,7 +893,7 @@
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
-    // The platform allows fewer descriptors than the configuration does.
+    // `ulimit` allows fewer descriptors than the configuration does.
     let known_list = list_of_one_cache(cache.address, origin.address);
     let node = Node::start_with_limits(discovery, &known_list, 256, "ulimit -n 24;");
     let clients: Vec<_> = (0..60).map(|_| node.connect_client()).collect();
@@ -916,7 +918,7 @@
         assert_eq!(
             other_client.request(&command(&["PING"])).unwrap(),
             "+PONG",
-            "accepted while all others stay connected"
+            "a new client is accepted while all others stay connected"
         );
         other_clients.push(other_client);
         match client.stream.read(&mut [0; 16]) {
@@ -932,10 +934,10 @@
 
 #[test]
 fn new_client_is_shed_at_once_when_busy_clients_hold_all_slots() {
-    // Guards against connections that wait for a slot: in a full-size run with 128 sockets their requests
+    // Guards against connections that wait for a slot: in a full-scale run with 128 sockets their requests
     // were dropped.
     let (node, _release) = connection_pressure::start_node_with_blocked_caches();
-    // As many as there are slots, without those that are kept for shedding.
+    // As many as there are slots for clients, except those kept free to accept connections and shed them.
     let _busy_clients = connection_pressure::connect_busy_clients(&node, 26);
     let mut late_clients = Vec::new();
     for _ in 0..10 {
@@ -943,7 +945,7 @@
         assert_eq!(
             late_client.request(&get("late", "late")).unwrap(),
             "-BUSY",
-            "shed whether or not the clients before it stay"
+            "shed whether or not earlier late clients stay connected"
         );
         late_clients.push(late_client);
     }
@@ -951,7 +953,7 @@
         assert_eq!(
             late_client.read_answer().as_deref(),
             Some("-BUSY"),
-            "closed with an answer to free its slot"
+            "closed with `-BUSY` to free its slot"
         );
         assert_eq!(late_client.read_answer(), None);
     }
@@ -1001,7 +1003,8 @@
     let (discovery, _updates, _calls) = idle_discovery();
     let node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
     let mut slow_client = node.connect_client();
-    // Requests far more than the buffers hold. A thread of its own sends, as its writes may block.
+    // The answers to these requests exceed all buffers by far. A separate thread sends the requests, as its
+    // writes may block.
     let mut stream = slow_client.stream.try_clone().unwrap();
     let slow_sender =
         std::thread::spawn(move || (0..200).try_for_each(|id| stream.write_all(&get("aa", &id.to_string()))));
--- a/tests/node/stand_ins.rs
+++ b/tests/node/stand_ins.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for cache servers, the origin and discovery, the node process under test, and its clients.
 //!
-//! All of them talk over loopback sockets. The stand-ins know nothing of the node's code; they speak its
-//! protocols.
+//! All of them communicate over loopback sockets. The stand-ins use none of the node's code; they implement
+//! the server side of its protocols.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Time-out of every wait in these tests: longer than any of them takes, even on a busy machine.
+/// Time-out of a wait in these tests: longer than a wait that succeeds takes, even on a busy machine.
 pub const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in server does when it has received a request.
@@ -27,8 +27,8 @@
     AnswerAfterThenClose(Receiver<()>, Vec<u8>),
     /// Sends these bytes, then closes the connection.
     AnswerThenClose(Vec<u8>),
-    /// Sends the first bytes, and the second ones after a message on the channel; then reports that on the
-    /// sender.
+    /// Sends the first bytes at once and the second ones after a message on the channel, then sends a message
+    /// on the sender.
     AnswerThenSendMore(Vec<u8>, Arc<Mutex<Receiver<()>>>, Vec<u8>, Sender<()>),
     /// Closes the connection without an answer.
     Close,
@@ -36,9 +36,9 @@
     Hang,
 }
 
-/// A request that a stand-in server has received, or, without parts, the end of a connection.
+/// A request that a stand-in server has received, or the end of a connection, for which `parts` is empty.
 pub struct ServerEvent {
-    /// The arguments of a RESP command, or the request line, headers and body of an HTTP request.
+    /// The name and arguments of a RESP command, or the request line, headers and body of an HTTP request.
     pub parts: Vec<String>,
     /// Number of the connection, counted from 0 for each server.
     pub connection: u32,
@@ -79,6 +79,7 @@
 pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: Socket,
+    /// Connections of the test that fill the backlog.
     backlog_streams: Vec<TcpStream>,
 }
 
@@ -94,8 +95,8 @@
         FullBacklogServer { address, listener, backlog_streams }
     }
 
-    /// Accepts the connections that fill the backlog and waits for the next one, whose SYN the kernel sends
-    /// again after a second. From then on the server is a stand-in like any other.
+    /// Accepts the connections that fill the backlog and waits for the node's connection, whose SYN the
+    /// kernel retransmits after a second. From then on the server is a stand-in like any other.
     pub fn start_accepting(
         self,
         respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static,
@@ -111,7 +112,7 @@
 }
 
 /// Settings with a connect time-out and deadlines that are long enough for a [`FullBacklogServer`]: on a busy
-/// machine the SYN that is accepted may be the one that the kernel sends after 15 s.
+/// machine the SYN that is accepted may be the retransmission after 15 s.
 pub fn long_timeout_settings() -> String {
     let settings =
         default_settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":60000000"#);
@@ -144,7 +145,7 @@
     StandIn { address, events }
 }
 
-/// Reads requests from a connection and reacts to each until the connection ends.
+/// Reads requests from a connection and does for each what `respond` returns, until the connection ends.
 fn serve_connection(
     stream: TcpStream,
     connection: u32,
@@ -228,12 +229,12 @@
     Some(parts)
 }
 
-/// Starts a cache server that reacts to each command as `respond` decides.
+/// Starts a cache server that does for each command what `respond` returns.
 pub fn cache_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
     start_stand_in(read_command, respond)
 }
 
-/// Starts an origin that reacts to each HTTP request as `respond` decides.
+/// Starts an origin that does for each HTTP request what `respond` returns.
 pub fn origin_server(respond: impl FnMut(&[String]) -> ServerAction + Send + Clone + 'static) -> StandIn {
     start_stand_in(read_http_request, respond)
 }
@@ -252,9 +253,10 @@
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Starts a discovery service that answers each call with the next of `answers`. The call that gets the last
-/// answer stays open; it carries what comes through the returned sender, and an empty line after each second
-/// without any. The receiver gets the request line of each call.
+/// Starts a discovery service that answers each call with the next of `answers` and closes its connection.
+/// The call that gets the last answer stays open: on it the service sends what the test passes to the
+/// returned sender, and an empty line after each second without any. The receiver gets the request line of
+/// each call.
 pub fn discovery_server(answers: Vec<Vec<u8>>) -> (SocketAddr, Sender<Vec<u8>>, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -303,13 +305,14 @@
     )
 }
 
-/// A list from discovery, as one line of JSON: the whole list if it is a snapshot, otherwise a change to it.
+/// A list from discovery, as one line of JSON: all servers if it is a snapshot, otherwise only the entries
+/// that change.
 pub fn server_list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(",")) + "\n"
 }
 
-/// Returns shell commands to put before a node's start, which interrupt or shorten some of its reads and
-/// writes on sockets, as `system_calls.c` says. Builds that library at the first call.
+/// Returns a shell prefix for a node's start that preloads `system_calls.c`, which interrupts or shortens
+/// some of the node's reads and writes on sockets. Builds that library at the first call.
 pub fn faulty_system_calls(seed: u32) -> String {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     let library = LIBRARY.get_or_init(|| {
@@ -391,7 +394,7 @@
         Node::start_with_limits(discovery, known_list, 256, "")
     }
 
-    /// Starts a node with a limit of sockets, behind shell commands such as `ulimit`.
+    /// Starts a node with a limit on its sockets, after shell commands such as `ulimit`.
     pub fn start_with_limits(
         discovery: SocketAddr,
         known_list: &str,
@@ -407,7 +410,7 @@
         Node::start_with_settings(discovery, known_list, (256, 16), "", &settings)
     }
 
-    /// Starts a node with limits of sockets and memory, behind shell commands, with the given settings.
+    /// Starts a node with limits on its sockets and memory, after shell commands, with the given settings.
     pub fn start_with_settings(
         discovery: SocketAddr,
         known_list: &str,
@@ -439,7 +442,8 @@
         self.send_signal("HUP");
     }
 
-    /// Replaces the configuration file by one that names another discovery, or by any text, without a signal.
+    /// Replaces the configuration file without a signal: by one with another address of discovery (`Ok`),
+    /// or by any text (`Err`).
     pub fn replace_config(&self, discovery_or_text: Result<SocketAddr, &str>) {
         let text = match discovery_or_text {
             Ok(discovery) => self.config_text.replace(&self.discovery.to_string(), &discovery.to_string()),
@@ -469,8 +473,8 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Stops the node with SIGSTOP while `action` runs. What is sent to it meanwhile waits in the kernel's
-    /// buffers.
+    /// Stops the node with SIGSTOP while `action` runs. Data that is sent to the node meanwhile waits in the
+    /// kernel's socket buffers.
     pub fn while_stopped<T>(&self, action: impl FnOnce() -> T) -> T {
         self.send_signal("STOP");
         let result = action();
--- a/tests/node/system_calls.c
+++ b/tests/node/system_calls.c
@@ -1,6 +1,6 @@
 /* Wraps recv and send of the C library: a tenth of the calls fails with EINTR, and another tenth transfers
-   less than requested. A seeded random generator selects them. The tests build this library and preload it
-   into the node. */
+   at most 40 bytes, however many are requested. A random generator with the seed SYSTEM_CALLS_SEED selects
+   these calls. The tests build this library and preload it into the node. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -30,7 +30,7 @@
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     ssize_t (*libc_function)(int, void *, size_t, int) =
         (ssize_t (*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
-    /* Calls that only peek pass unchanged. */
+    /* Calls that only peek consume no data and pass unchanged. */
     size_t allowed = flags & MSG_PEEK ? length : allowed_length(length);
     if (length > 0 && allowed == 0) {
         errno = EINTR;
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -6,10 +6,10 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
-// An interrupted read or write was taken for the end of a connection, and a short read for all available
-// data. On the watch on discovery the same fault delayed drains. With a tenth of the reads and writes
-// interrupted and another tenth shortened, 30 of 55 requests had no answer, as each of 20 clients lost its
-// connection.
+// The node took an interrupted read or write for the end of a connection, and a short read for all
+// available data. With a tenth of the reads and writes interrupted and another tenth shortened, 30 of 55
+// requests had no answer, as each of 20 clients lost its connection. The same error delayed drains when it
+// hit the watch on discovery, which `drain.rs` tests.
 #[test]
 fn requests_and_answers_are_complete_despite_interrupted_and_short_system_calls() {
     for seed in 1..=3 {
