--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn draining_server_gets_no_new_requests_and_a_failed_watch_keeps_the_list() {
+fn draining_server_gets_no_new_requests_and_a_failed_watch_leaves_the_list_in_force() {
     let (first, second) = (
         cache_server(|_| ServerAction::Answer(hit("first"))),
         cache_server(|_| ServerAction::Answer(hit("second"))),
