--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -42,7 +42,7 @@
             let megabyte = vec![b'*'; 1 << 20];
             let ping = command(&["PING"]);
             let mut peers: Vec<Option<(TcpStream, usize)>> = (0..count).map(|_| None).collect();
-            // Counts iterations, one each 100 ms.
+            // Counts iterations, one each 100 ms: ten are a second. 14 below is the length of a PING in bytes.
             let mut tick = 0;
             while !stop_signal.load(Ordering::Relaxed) {
                 for slot in &mut peers {
@@ -462,7 +462,7 @@
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
-            assert!(answer.is_some(), "the client is answered after {id} other peers");
+            assert!(answer.is_some(), "the client of round {id} is answered");
             peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
         assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
@@ -493,7 +493,7 @@
                 calls.recv_timeout(LONG_TIMEOUT).expect("the node calls the next discovery");
             }
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
-            assert!(answer.is_some(), "the client is answered after {id} other peers");
+            assert!(answer.is_some(), "the client of round {id} is answered");
             peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
         assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
