--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -1,5 +1,5 @@
-//! Tests of a node whose connection slots are taken by peers that send no requests: clients must still be
-//! answered, and the node must stay within its descriptor budget.
+//! Tests of a node whose connection slots are taken by peers that send no requests: clients, which do send
+//! requests, must still be answered, and the node must stay within its descriptor budget.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
-/// What a peer that sends no complete request does on its connection.
+/// What a peer, which sends no complete request, does on its connection.
 #[derive(Clone, Copy, Debug)]
 enum PeerKind {
     Silent,
@@ -22,14 +22,17 @@
     PingEachSecond,
     /// Sends one byte of a PING each second.
     SlowSender,
-    /// Sends the first 30 bytes of a read.
+    /// Sends the first 30 bytes of a read command, and never the rest.
     PartialCommand,
     /// Sends invalid input, up to 1 MiB at a time, for 0.8 s, then closes the connection.
-    SendMegabyte,
+    InvalidInput,
 }
 
 /// Peers that fill the node's connection slots. A thread reconnects each as soon as its connection is closed.
-struct PeerGroup(Arc<AtomicBool>, Option<std::thread::JoinHandle<()>>);
+struct PeerGroup {
+    stop: Arc<AtomicBool>,
+    thread: Option<std::thread::JoinHandle<()>>,
+}
 
 impl PeerGroup {
     fn connect(node_address: SocketAddr, kind: PeerKind, count: usize) -> PeerGroup {
@@ -39,6 +42,7 @@
             let megabyte = vec![b'*'; 1 << 20];
             let ping = command(&["PING"]);
             let mut peers: Vec<Option<(TcpStream, usize)>> = (0..count).map(|_| None).collect();
+            // Counts iterations, one each 100 ms: ten are a second. 14 below is the length of a PING in bytes.
             let mut tick = 0;
             while !stop_signal.load(Ordering::Relaxed) {
                 for slot in &mut peers {
@@ -63,8 +67,8 @@
                         PeerKind::PingEachSecond if age % 10 == 1 => stream.write(&ping),
                         PeerKind::SlowSender if age % 10 == 1 => stream.write(&ping[age / 10 % 14..][..1]),
                         PeerKind::PartialCommand if age == 1 => stream.write(&get("aa", "half")[..30]),
-                        PeerKind::SendMegabyte if age < 8 => stream.write(&megabyte),
-                        PeerKind::SendMegabyte => {
+                        PeerKind::InvalidInput if age < 8 => stream.write(&megabyte),
+                        PeerKind::InvalidInput => {
                             *slot = None;
                             Ok(0)
                         }
@@ -75,27 +79,28 @@
                 tick += 1;
             }
         });
-        PeerGroup(stop, Some(thread))
+        PeerGroup { stop, thread: Some(thread) }
     }
 }
 
 impl Drop for PeerGroup {
     fn drop(&mut self) {
-        self.0.store(true, Ordering::Relaxed);
-        self.1.take().map(|thread| thread.join());
+        self.stop.store(true, Ordering::Relaxed);
+        self.thread.take().map(|thread| thread.join());
     }
 }
 
-/// Reserves an address for discovery at which connections are refused until [`resume_discovery`].
-fn refusing_discovery() -> (Socket, SocketAddr) {
+/// Reserves an address for discovery at which connections are refused until [`start_discovery_on`].
+fn reserve_discovery_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, address)
 }
 
-/// Starts discovery at its reserved address. It answers every call with a watch that delivers `list`.
-fn resume_discovery(socket: Socket, list: String) {
+/// Starts discovery on a socket of [`reserve_discovery_address`]. Discovery answers every call with a watch
+/// that delivers `list`.
+fn start_discovery_on(socket: Socket, list: String) {
     socket.listen(64).unwrap();
     std::thread::spawn(move || {
         for mut stream in TcpListener::from(socket).incoming().flatten() {
@@ -111,7 +116,7 @@
     });
 }
 
-/// Sends a read on a new connection and returns its result.
+/// Sends a read on a new connection and returns the name of its result, as [`measure_peer_kind`] counts them.
 fn request_on_new_connection(node_address: SocketAddr, id: &str) -> &'static str {
     let timeout = Duration::from_secs(2);
     let Ok(mut stream) = TcpStream::connect_timeout(&node_address, timeout) else { return "not accepted" };
@@ -128,7 +133,8 @@
     }
 }
 
-/// Returns the time until a PING on a new connection is answered with +PONG. Each attempt may take a second.
+/// Returns the time until a PING on a new connection is answered with +PONG, or [`LONG_TIMEOUT`] or more if
+/// none is. An attempt may take a second to connect and a second to be answered.
 fn time_until_pong(node_address: SocketAddr) -> Duration {
     let start = Instant::now();
     let gets_pong = || -> Option<bool> {
@@ -145,7 +151,7 @@
     start.elapsed()
 }
 
-/// Starts a client that sends reads on one connection until `stop` is set.
+/// Starts a client that sends one read after another on one connection until `stop` is set.
 fn start_steady_client(node: &Node, stop: Arc<AtomicBool>) {
     let mut client = node.connect_client();
     std::thread::spawn(move || {
@@ -159,23 +165,23 @@
     });
 }
 
-/// Measures a node under pressure of one kind of peers, first while it runs on and then after it was killed
-/// and started again, and prints the results.
+/// Measures a node whose connection slots are filled by one kind of peers, before and after the node is
+/// killed and started again, and prints the results. If `pushed` is set, discovery pushes its lists.
 fn measure_peer_kind(kind: PeerKind, pushed: bool) {
     let server = |name: &'static str| cache_server(move |_| ServerAction::Answer(hit(name)));
     let (first_server, second_server, origin) = (server("first"), server("second"), failing_origin());
-    let (socket, discovery) = refusing_discovery();
+    let (socket, discovery) = reserve_discovery_address();
     let known_list = list_of_one_cache(first_server.address, origin.address);
     let mut settings = default_settings().to_string();
     if pushed {
         settings = settings.replace(r#""discovery":"ask""#, r#""discovery":"push""#);
     }
     let mut node = Node::start_with_settings(discovery, &known_list, (256, 32), "ulimit -n 256;", &settings);
-    let stop = Arc::new(AtomicBool::new(false));
-    start_steady_client(&node, stop.clone());
+    let stop_steady_client = Arc::new(AtomicBool::new(false));
+    start_steady_client(&node, stop_steady_client.clone());
     let peer_group = PeerGroup::connect(node.address, kind, 400);
     std::thread::sleep(Duration::from_secs(3));
-    let count = |node: &Node| {
+    let count_results = |node: &Node| {
         let clients: Vec<_> = (0..200)
             .map(|id| {
                 std::thread::sleep(Duration::from_millis(20));
@@ -187,7 +193,7 @@
         let count = |what| results.iter().filter(|result| **result == what).count();
         ["answered", "shed", "closed", "unanswered", "not accepted", "error"].map(count)
     };
-    let running = count(&node);
+    let running_results = count_results(&node);
     let (kib, descriptors) = (node.resident_kib(), node.descriptor_count());
     let mut ready_times: Vec<_> = (0..5)
         .map(|_| {
@@ -200,29 +206,29 @@
         })
         .collect();
     ready_times.sort();
-    let restarted = count(&node);
-    stop.store(true, Ordering::Relaxed);
-    let stop = Arc::new(AtomicBool::new(false));
+    let restarted_results = count_results(&node);
+    stop_steady_client.store(true, Ordering::Relaxed);
+    let stop_requests = Arc::new(AtomicBool::new(false));
     let entries = [
         server_entry("s-2", second_server.address, "std", "active"),
         server_entry("o-1", origin.address, "origin", "active"),
     ];
     let start = Instant::now();
-    resume_discovery(socket, server_list(9, true, &entries));
+    start_discovery_on(socket, server_list(9, true, &entries));
     let node_address = node.address;
-    let stop_signal = stop.clone();
-    let list_client = std::thread::spawn(move || {
+    let stop_signal = stop_requests.clone();
+    let request_thread = std::thread::spawn(move || {
         (0..)
             .map(|id| request_on_new_connection(node_address, &format!("l{id}")))
             .take_while(|_| !stop_signal.load(Ordering::Relaxed))
             .count()
     });
     let list_delay = second_server.events.recv_timeout(LONG_TIMEOUT).map(|_| start.elapsed().as_secs_f64());
-    stop.store(true, Ordering::Relaxed);
-    list_client.join().unwrap();
+    stop_requests.store(true, Ordering::Relaxed);
+    request_thread.join().unwrap();
     println!(
-        "{:16} {:4} running {running:3?} {kib} KiB {descriptors} files, \
-         restarted {restarted:3?} {} KiB {} files, \
+        "{:16} {:4} running {running_results:3?} {kib} KiB {descriptors} descriptors, \
+         restarted {restarted_results:3?} {} KiB {} descriptors, \
          ready {:.2?} to {:.2?}, list {:.1?} s",
         format!("{kind:?}"),
         if pushed { "push" } else { "ask" },
@@ -235,11 +241,11 @@
     drop(peer_group);
 }
 
-/// A measurement of some minutes, not a check. 400 peers of a kind fill 256 descriptors while discovery is
-/// down. Of 200 requests on new connections it counts those that are answered, shed, closed without an
-/// answer, unanswered within 2 s, not accepted by the kernel within 2 s, and answered with an error. It
-/// prints the median and the longest of five times to +PONG after a kill, and the time from discovery's
-/// return until a server of its list gets its first request.
+/// A measurement that takes some minutes and asserts nothing. 400 peers of a kind fill 256 descriptors
+/// while discovery is down. Of 200 requests on new connections it counts those that are answered, shed,
+/// closed without an answer, unanswered within 2 s, not accepted by the kernel within 2 s, and answered
+/// with an error. It prints the median and the longest of five times to +PONG after a kill, and the time
+/// from discovery's return until a server of its list gets its first request.
 #[test]
 #[ignore = "a measurement, which takes minutes"]
 fn measure_connection_pressure_of_peers_that_send_no_requests() {
@@ -250,7 +256,7 @@
         PeerKind::PingEachSecond,
         PeerKind::SlowSender,
         PeerKind::PartialCommand,
-        PeerKind::SendMegabyte,
+        PeerKind::InvalidInput,
     ];
     for pushed in [false, true] {
         std::thread::scope(|scope| {
@@ -276,8 +282,9 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// Starts a node with 64 descriptors and four cache servers, so that none of these gets more requests than it
-/// accepts. Until the returned sender is dropped they hold back all answers but those for the key `free`.
+/// Starts a node with 64 descriptors and four cache servers, so that no request is shed because one of
+/// these is overloaded. Until the returned sender is dropped they hold back all answers but those for the
+/// key `free`.
 pub fn start_node_with_blocked_caches() -> (Node, Sender<()>) {
     let (release, release_signal) = channel::<()>();
     let release_signal = Arc::new(Mutex::new(release_signal));
@@ -319,7 +326,7 @@
     let mut peers: Vec<_> = (0..30).map(|_| connect_and_ping(&node)).collect();
     for id in 0..40 {
         assert_eq!(node.connect_client().request(&get("aa", &id.to_string())).unwrap(), "aa");
-        // Peers that are still connected ping again, which does not make them clients.
+        // Peers that are still connected ping again, which must not make the node count them as clients.
         peers.retain_mut(|peer| {
             let _ = peer.stream.write_all(&command(&["PING"]));
             peer.read_answer().is_some_and(|line| line == "+PONG")
@@ -329,9 +336,10 @@
 }
 
 #[test]
-fn silent_peers_get_an_error_in_time_even_if_they_exceed_the_connection_slots() {
+fn silent_peers_get_an_error_in_time_even_if_they_outnumber_the_connection_slots() {
     let (node, _cache) = start_small_node();
-    // If each set of peers that fits kept its slots for the full time limit, this would take 11 s.
+    // The 150 peers are five times as many as there are slots. If each set that fits kept its slots for the
+    // full time limit of 2.2 s, this would take 11 s.
     let start = Instant::now();
     let mut peers: Vec<_> = (0..150).map(|_| node.connect_client()).collect();
     assert!(peers.iter_mut().all(|peer| peer.read_answer().is_some_and(|line| line.starts_with('-'))));
@@ -347,14 +355,14 @@
         "aa",
         "a client is answered though no peer has closed its connection"
     );
-    let first_peer = &mut peers[0];
+    let oldest_peer = &mut peers[0];
     assert_eq!(
-        first_peer.stream.peek(&mut [0; 16]).unwrap(),
+        oldest_peer.stream.peek(&mut [0; 16]).unwrap(),
         7,
         "the oldest connection gets `-BUSY` and a line end"
     );
-    first_peer.send(&get("crossing", "2"));
-    assert_eq!((first_peer.read_answer().as_deref(), first_peer.read_answer()), (Some("-BUSY"), None));
+    oldest_peer.send(&get("crossing", "2"));
+    assert_eq!((oldest_peer.read_answer().as_deref(), oldest_peer.read_answer()), (Some("-BUSY"), None));
     assert_eq!(node.connect_client().request(&get("bb", "3")).unwrap(), "bb");
     let mut events =
         std::iter::from_fn(|| cache.events.try_recv().ok()).filter(|event| !event.parts.is_empty());
@@ -365,7 +373,7 @@
 fn open_requests_keep_their_slots_and_reach_servers_under_connection_pressure() {
     let (node, release) = start_node_with_blocked_caches();
     let _peers: Vec<_> = (0..40).map(|_| connect_and_ping(&node)).collect();
-    // A third of the 64 descriptors.
+    // 21 is a third of the 64 descriptors.
     let mut clients = connect_busy_clients(&node, 21);
     let _more_peers: Vec<_> = (0..4).map(|_| connect_and_ping(&node)).collect();
     drop(release);
@@ -386,7 +394,7 @@
 }
 
 #[test]
-fn idle_clients_are_closed_before_they_use_up_the_third_of_descriptors_for_clients() {
+fn idle_clients_are_closed_when_clients_hold_a_third_of_the_descriptors() {
     let (node, _cache) = start_small_node();
     let mut clients: Vec<_> = (0..21).map(|_| node.connect_client()).collect();
     let start = Instant::now();
@@ -394,7 +402,7 @@
         assert_eq!(client.request(&get("aa", &id.to_string())).unwrap(), "aa");
     }
     assert_eq!(clients[0].read_answer(), None, "closed while idle, though slots are left");
-    // Long before any idle connection is closed for its age.
+    // After the 2 s for which an idle connection is kept, and long before 15 s, when each idle one is closed.
     assert!(start.elapsed() >= Duration::from_secs(2) && start.elapsed() < Duration::from_secs(10));
     assert_eq!(
         clients[20].request(&get("aa", "last")).unwrap(),
@@ -407,7 +415,7 @@
 fn node_restarted_under_connection_pressure_gets_ready_and_applies_the_list_of_a_recovered_discovery() {
     for pushed in [false, true] {
         let caches = ["first", "second"].map(|name| cache_server(move |_| ServerAction::Answer(hit(name))));
-        let (socket, discovery) = refusing_discovery();
+        let (socket, discovery) = reserve_discovery_address();
         let settings = match pushed {
             true => default_settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#),
             false => default_settings().into(),
@@ -418,14 +426,14 @@
         node.kill_and_restart();
         // Three times as many peers as there are slots connect before the node accepts the first one. If each
         // set that fits kept its slots for the full time limit of 2.2 s, readiness would take 6.6 s.
-        let connect_clients =
+        let connect_peers_and_client =
             || ((0..100).map(|_| node.connect_client()).collect::<Vec<_>>(), node.connect_client());
-        let (_peers, mut client) = node.while_stopped(connect_clients);
+        let (_peers, mut client) = node.while_stopped(connect_peers_and_client);
         let start = Instant::now();
         assert_eq!(client.request(&command(&["PING"])).unwrap(), "+PONG");
         assert!(start.elapsed() < Duration::from_secs(6));
         let _peer_group = PeerGroup::connect(node.address, PeerKind::PingEachSecond, 100);
-        resume_discovery(
+        start_discovery_on(
             socket,
             server_list(9, true, &[server_entry("s-2", caches[1].address, "std", "active")]),
         );
@@ -449,15 +457,15 @@
             sockets,
             "",
         );
-        let mut peak = 0;
+        let mut peak_descriptors = 0;
         let mut peers = Vec::new();
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
-            assert!(answer.is_some(), "the client is answered after {id} other peers");
-            peak = peak.max(node.descriptor_count());
+            assert!(answer.is_some(), "the client of round {id} is answered");
+            peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
-        assert!(peak <= sockets, "{peak} descriptors of {sockets} allowed");
+        assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
     }
 }
 
@@ -474,20 +482,20 @@
             "",
         );
         calls.recv_timeout(LONG_TIMEOUT).expect("the node opens its watch");
-        let mut peak = 0;
+        let mut peak_descriptors = 0;
         let mut peers = Vec::new();
         for id in 0..2 * sockets {
             peers.push(if id % 2 == 0 { connect_and_ping(&node) } else { node.connect_client() });
             if id % (sockets / 4) == 0 {
-                // A call that gets no answer, so that all connections that it replaces stay open.
+                // The next discovery never answers the call, so that connections of earlier calls stay open.
                 let (next_discovery, calls) = scripted_discovery(vec![Vec::new()]);
                 node.reload_config(Ok(next_discovery));
                 calls.recv_timeout(LONG_TIMEOUT).expect("the node calls the next discovery");
             }
             let answer = node.connect_client().request(&get("aa", &id.to_string()));
-            assert!(answer.is_some(), "the client is answered after {id} other peers");
-            peak = peak.max(node.descriptor_count());
+            assert!(answer.is_some(), "the client of round {id} is answered");
+            peak_descriptors = peak_descriptors.max(node.descriptor_count());
         }
-        assert!(peak <= sockets, "{peak} descriptors of {sockets} allowed");
+        assert!(peak_descriptors <= sockets, "{peak_descriptors} descriptors of {sockets} allowed");
     }
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -1,5 +1,5 @@
-//! Tests of failed calls to discovery: how each kind is logged, how soon the next call is made, and that a
-//! later call delivers the list.
+//! Tests of failed calls to discovery: how each kind of failure is logged, how soon the next call is made,
+//! and that a later call delivers the list.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::Receiver;
@@ -9,7 +9,7 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, list_of_one_cache};
 
-/// Waits for the next line of a node's log that says when it calls discovery again.
+/// Waits for the next line of a node's log that states the delay before the next call to discovery.
 fn next_retry_line(log: &Receiver<String>) -> String {
     let mut lines = std::iter::from_fn(|| log.recv_timeout(LONG_TIMEOUT).ok());
     lines.find(|line| line.contains("asking again")).expect("the node logs its next call")
@@ -31,17 +31,24 @@
     let invalid = [watch_head(), chunk("{\"index\":\"seven\",\"endpoints\":[{}]}\n")].concat();
     let failed_answers =
         vec![b"HTTP/1.1 503 Busy\r\n\r\n".to_vec(), b"HTTP/1.1 20".to_vec(), Vec::new(), truncated, invalid];
-    let count = failed_answers.len();
-    let scripts = failed_answers.into_iter().chain([[watch_head(), chunk(&list)].concat()]).collect();
-    let (discovery, _updates, calls) = discovery_server(scripts);
+    let failure_count = failed_answers.len();
+    let answers = failed_answers.into_iter().chain([[watch_head(), chunk(&list)].concat()]).collect();
+    let (discovery, _updates, calls) = discovery_server(answers);
     let node = Node::start(discovery, r#"{"index":0,"snapshot":true,"endpoints":[]}"#);
-    for _ in 0..count {
+    for _ in 0..failure_count {
         let line = next_retry_line(&node.log);
         assert!(line.contains("turned a call away, or the watch broke"), "{line}");
     }
-    assert_eq!(calls.iter().take(count + 1).count(), count + 1, "all failed calls and the answered one");
-    let ready = || node.connect_client().request(&get("aa", "1")).unwrap() == "aa";
-    assert!(std::iter::repeat_with(ready).take(100_000).any(|ready| ready), "the list is in force");
+    assert_eq!(
+        calls.iter().take(failure_count + 1).count(),
+        failure_count + 1,
+        "all failed calls and the answered one"
+    );
+    let is_list_in_force = || node.connect_client().request(&get("aa", "1")).unwrap() == "aa";
+    assert!(
+        std::iter::repeat_with(is_list_in_force).take(100_000).any(|in_force| in_force),
+        "the list is in force"
+    );
 }
 
 #[test]
@@ -58,7 +65,7 @@
 }
 
 #[test]
-fn refused_connections_do_not_lengthen_the_backoff_to_discovery() {
+fn refused_connections_do_not_lengthen_the_delay_before_the_next_discovery_call() {
     // The socket is bound but does not listen yet, so connections are refused.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -76,6 +83,8 @@
         assert!(line.contains("can't be reached"), "{line}");
         let delay_ms: u64 =
             line.rsplit(' ').nth(1).and_then(|ms| ms.parse().ok()).expect("the line states a delay in ms");
+        // The first delay is drawn from 0.5 to 1.5 sixteenths of `askWithinUs`; later ones must not exceed
+        // that.
         assert!(delay_ms <= 4_000 / 16 * 3 / 2, "refused connections must not lengthen the delay: {line}");
     }
     socket.listen(8).unwrap();
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -28,7 +28,8 @@
     server_list(5, true, &entries)
 }
 
-/// Starts a discovery service that accepts a watch and sends no list unless the test does.
+/// Starts a discovery service that accepts a watch and sends a list only if the test passes one to the
+/// returned sender.
 fn idle_discovery() -> (SocketAddr, std::sync::mpsc::Sender<Vec<u8>>, std::sync::mpsc::Receiver<String>) {
     discovery_server(vec![watch_head()])
 }
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn hits_misses_and_writes_are_answered_and_only_the_d_fact_changes() {
+fn hits_misses_and_writes_are_answered_and_forwarded_with_only_the_deadline_changed() {
     let cache =
         cache_server(|parts| ServerAction::Answer(if parts[1] == "aa" { hit("kept") } else { miss() }));
     let origin = origin_server(|_| ServerAction::Answer(http_response(200, "", "made")));
@@ -151,7 +152,7 @@
     for malformed in [unknown_class, missing_arguments, key_with_line_break, command(&["FLUSHALL"])] {
         assert!(
             other_client.request(&malformed).unwrap().starts_with("-ERR"),
-            "valid framing gets an answer"
+            "an invalid command with valid framing gets an error"
         );
         assert_eq!(other_client.request(&get("cc", "3")).unwrap(), "cc", "the connection stays open");
     }
@@ -206,7 +207,7 @@
 }
 
 #[test]
-fn request_id_in_use_by_another_client_is_rejected_until_it_is_answered() {
+fn reusing_the_id_of_an_open_request_is_rejected_until_that_request_is_answered() {
     let (release, release_signal) = channel();
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
     let cache = cache_server(move |parts| match release_signal.lock().unwrap().take() {
@@ -221,7 +222,7 @@
     cache.next_request();
     let mut other_client = node.connect_client();
     assert!(other_client.request(&get("aa", "7")).unwrap().starts_with("-ERR"));
-    assert_eq!(other_client.request(&get("bb", "8")).unwrap(), "bb", "the cache server answers another id");
+    assert_eq!(other_client.request(&get("bb", "8")).unwrap(), "bb", "a request with another id is answered");
     assert_eq!(cache.next_request().parts[2], "8");
     release.send(()).unwrap();
     assert_eq!(client.read_answer().unwrap(), "mine");
@@ -233,13 +234,13 @@
 }
 
 #[test]
-fn clients_without_a_complete_command_lose_their_connection_slots_in_time() {
+fn clients_that_send_no_complete_command_lose_their_connection_slots_within_the_time_limit() {
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
     let node = Node::start_with_limits(discovery, &list_of_one_cache(cache.address, origin.address), 64, "");
-    let mut known_client = node.connect_client();
-    assert_eq!(known_client.request(&get("aa", "1")).unwrap(), "aa");
+    let mut earlier_client = node.connect_client();
+    assert_eq!(earlier_client.request(&get("aa", "1")).unwrap(), "aa");
     let start = std::time::Instant::now();
     // Fewer than there are slots, so that none is closed early to make room.
     let mut silent_clients: Vec<_> = (0..26).map(|_| node.connect_client()).collect();
@@ -254,7 +255,7 @@
     });
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(
-        known_client.request(&get("bb", "3")).unwrap(),
+        earlier_client.request(&get("bb", "3")).unwrap(),
         "bb",
         "a client with an earlier request is still answered"
     );
@@ -327,7 +328,7 @@
     assert_eq!(
         client.request(&put("aa", "1", "v")).unwrap(),
         "ok",
-        "a body without a length ends with the connection"
+        "retried after 503, and after 504 with a body that ends with the connection"
     );
     assert_eq!(
         client.request(&put("aa", "2", "v")).unwrap(),
@@ -381,9 +382,9 @@
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
     let hang_flag = Arc::new(AtomicBool::new(false));
     let mut has_answered = false; // Each connection has its own copy.
-    let (connections_hang, cache_release_signal) = (hang_flag.clone(), release_signal.clone());
+    let (cache_hang_flag, cache_release_signal) = (hang_flag.clone(), release_signal.clone());
     let cache = cache_server(move |parts| {
-        if has_answered && connections_hang.load(Ordering::SeqCst) {
+        if has_answered && cache_hang_flag.load(Ordering::SeqCst) {
             return ServerAction::Hang;
         }
         has_answered = true;
@@ -416,7 +417,7 @@
 }
 
 #[test]
-fn draining_server_gets_no_new_requests_and_a_failed_watch_keeps_the_list() {
+fn draining_server_gets_no_new_requests_and_a_failed_watch_leaves_the_list_in_force() {
     let (first, second) = (
         cache_server(|_| ServerAction::Answer(hit("first"))),
         cache_server(|_| ServerAction::Answer(hit("second"))),
@@ -448,11 +449,11 @@
     updates.send(chunk(&update)).unwrap();
     // The change has arrived once all keys, those of the first server too, are read from the second.
     let mut read_count = 0;
-    let mut consecutive_second = 0;
-    while consecutive_second < 40 {
+    let mut consecutive_from_second = 0;
+    while consecutive_from_second < 40 {
         read_count += 1;
         let answer = client.request(&get(&format!("{:x}", read_count % 40), "2")).unwrap();
-        consecutive_second = if answer == "second" { consecutive_second + 1 } else { 0 };
+        consecutive_from_second = if answer == "second" { consecutive_from_second + 1 } else { 0 };
         assert!(read_count < 100_000, "the change takes effect");
     }
 }
@@ -500,7 +501,7 @@
 }
 
 #[test]
-fn push_mode_reopens_the_watch_and_the_node_is_ready_after_its_first_list() {
+fn node_with_pushed_lists_reopens_a_failed_watch_and_is_ready_after_its_first_list() {
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let refusal = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_vec();
@@ -600,7 +601,7 @@
 }
 
 #[test]
-fn answers_longer_than_the_client_value_limit_are_forwarded() {
+fn answers_longer_than_the_limit_for_client_values_are_forwarded() {
     // Guards against a limit for clients' values that also applied to answers: in a run with slow clients a
     // quarter of the answers exceeded it and were treated as malformed.
     let long_value = "v".repeat(400_000);
@@ -860,8 +861,8 @@
 
 #[test]
 fn sigterm_waits_until_the_last_client_has_its_answer() {
-    // Guards against an exit with unsent answers: in a rolling restart of 300 nodes those with a single
-    // client left exited before its answer was written.
+    // Guards against an exit with unsent answers: in a rolling restart of 300 nodes, nodes with a single
+    // client left exited before that client's answer was written.
     let value = "v".repeat(3_900_000);
     let cached = value.clone();
     let cache = cache_server(move |_| ServerAction::Answer(hit(&cached)));
@@ -871,13 +872,14 @@
     let mut node = Node::start_with_settings(discovery, &known_list, (256, 192), "", default_settings());
     let (mut client, mut idle_client) = (node.connect_client(), node.connect_client());
     assert_eq!(idle_client.request(&command(&["PING"])).unwrap(), "+PONG");
-    // More than the socket buffers between node and client hold, so that the node can't write all of it yet.
+    // The answers exceed the socket buffers between node and client, so that the node can't write all of them
+    // yet.
     client.send(&["1", "2", "3"].map(|id| get("aa", id)).concat());
     let requests: Vec<_> = (0..3).map(|_| cache.next_request()).collect();
     assert_eq!(requests.len(), 3);
     node.terminate();
     assert_eq!(idle_client.read_answer(), None, "the node has begun to close connections");
-    // Far longer than the few milliseconds in which a node without open answers exits.
+    // Far longer than the few milliseconds in which a node without unsent answers exits.
     std::thread::sleep(Duration::from_millis(300));
     for _ in 0..3 {
         assert!(client.read_answer().is_some_and(|answer| answer == value), "the answer is complete");
@@ -891,7 +893,7 @@
     let cache = cache_server(|parts| ServerAction::Answer(hit(&parts[1])));
     let origin = failing_origin();
     let (discovery, _updates, _calls) = idle_discovery();
-    // The platform allows fewer descriptors than the configuration does.
+    // `ulimit` allows fewer descriptors than the configuration does.
     let known_list = list_of_one_cache(cache.address, origin.address);
     let node = Node::start_with_limits(discovery, &known_list, 256, "ulimit -n 24;");
     let clients: Vec<_> = (0..60).map(|_| node.connect_client()).collect();
@@ -916,7 +918,7 @@
         assert_eq!(
             other_client.request(&command(&["PING"])).unwrap(),
             "+PONG",
-            "accepted while all others stay connected"
+            "a new client is accepted while all others stay connected"
         );
         other_clients.push(other_client);
         match client.stream.read(&mut [0; 16]) {
@@ -932,10 +934,10 @@
 
 #[test]
 fn new_client_is_shed_at_once_when_busy_clients_hold_all_slots() {
-    // Guards against connections that wait for a slot: in a full-size run with 128 sockets their requests
+    // Guards against connections that wait for a slot: in a full-scale run with 128 sockets their requests
     // were dropped.
     let (node, _release) = connection_pressure::start_node_with_blocked_caches();
-    // As many as there are slots, without those that are kept for shedding.
+    // As many as there are slots for clients, except those kept free to accept connections and shed them.
     let _busy_clients = connection_pressure::connect_busy_clients(&node, 26);
     let mut late_clients = Vec::new();
     for _ in 0..10 {
@@ -943,7 +945,7 @@
         assert_eq!(
             late_client.request(&get("late", "late")).unwrap(),
             "-BUSY",
-            "shed whether or not the clients before it stay"
+            "shed whether or not earlier late clients stay connected"
         );
         late_clients.push(late_client);
     }
@@ -951,7 +953,7 @@
         assert_eq!(
             late_client.read_answer().as_deref(),
             Some("-BUSY"),
-            "closed with an answer to free its slot"
+            "closed with `-BUSY` to free its slot"
         );
         assert_eq!(late_client.read_answer(), None);
     }
@@ -1001,7 +1003,8 @@
     let (discovery, _updates, _calls) = idle_discovery();
     let node = Node::start(discovery, &list_of_one_cache(cache.address, origin.address));
     let mut slow_client = node.connect_client();
-    // Requests far more than the buffers hold. A thread of its own sends, as its writes may block.
+    // The answers to these requests exceed all buffers by far. A separate thread sends the requests, as its
+    // writes may block.
     let mut stream = slow_client.stream.try_clone().unwrap();
     let slow_sender =
         std::thread::spawn(move || (0..200).try_for_each(|id| stream.write_all(&get("aa", &id.to_string()))));
--- a/tests/node/system_calls.c
+++ b/tests/node/system_calls.c
@@ -1,6 +1,6 @@
 /* Wraps recv and send of the C library: a tenth of the calls fails with EINTR, and another tenth transfers
-   less than requested. A seeded random generator selects them. The tests build this library and preload it
-   into the node. */
+   at most 40 bytes, however many are requested. A random generator with the seed SYSTEM_CALLS_SEED selects
+   these calls. The tests build this library and preload it into the node. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -22,15 +22,15 @@
 
 /* Returns how many bytes a call may transfer; 0 if the call is to fail with EINTR. */
 static size_t allowed_length(size_t length) {
-    unsigned percentile = next_random(100);
-    if (percentile < 10) return 0;
-    return percentile < 20 && length > 1 ? 1 + next_random(length < 40 ? (unsigned)length : 40) : length;
+    unsigned random_percent = next_random(100);
+    if (random_percent < 10) return 0;
+    return random_percent < 20 && length > 1 ? 1 + next_random(length < 40 ? (unsigned)length : 40) : length;
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     ssize_t (*libc_function)(int, void *, size_t, int) =
         (ssize_t (*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
-    /* Calls that only peek pass unchanged. */
+    /* Calls that only peek consume no data and pass unchanged. */
     size_t allowed = flags & MSG_PEEK ? length : allowed_length(length);
     if (length > 0 && allowed == 0) {
         errno = EINTR;
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -6,10 +6,10 @@
 use crate::stand_ins::*;
 use crate::{failing_origin, idle_discovery, list_of_one_cache};
 
-// An interrupted read or write was taken for the end of a connection, and a short read for all available
-// data. On the watch on discovery the same fault delayed drains. With a tenth of the reads and writes
-// interrupted and another tenth shortened, 30 of 55 requests had no answer, as each of 20 clients lost its
-// connection.
+// The node took an interrupted read or write for the end of a connection, and a short read for all
+// available data. With a tenth of the reads and writes interrupted and another tenth shortened, 30 of 55
+// requests had no answer, as each of 20 clients lost its connection. The same error delayed drains when it
+// hit the watch on discovery, which `drain.rs` tests.
 #[test]
 fn requests_and_answers_are_complete_despite_interrupted_and_short_system_calls() {
     for seed in 1..=3 {
@@ -24,14 +24,14 @@
         let known_list = list_of_one_cache(cache.address, origin.address);
         let node =
             Node::start_with_settings(discovery, &known_list, (256, 16), &shell_prefix, default_settings());
-        for id in 0..10 {
+        for client_index in 0..10 {
             let mut client = node.connect_client();
-            for (request, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
-                let answer = client.request(&get(key, &format!("{id}-{request}")));
+            for (request_index, key) in ["aa", "bb", "aa", "aa", "cc", "aa"].into_iter().enumerate() {
+                let answer = client.request(&get(key, &format!("{client_index}-{request_index}")));
                 assert_eq!(
                     answer.as_ref(),
                     Some(&long_value),
-                    "request {request} of client {id}, seed {seed}"
+                    "request {request_index} of client {client_index}, seed {seed}"
                 );
             }
         }
