--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -206,9 +206,14 @@
 }
 
 /// Returns the items of `size` bytes in the tail that the field at `at` refers to by offset and count.
-fn tail_slice<'a>(tail: &'a [u8], record: &[u8], at: usize, size: usize) -> Result<&'a [u8], String> {
-    let (offset, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
-    let end = count.checked_mul(size).and_then(|n| n.checked_add(offset));
+fn tail_slice<'a>(
+    tail: &'a [u8],
+    record: &[u8],
+    field_offset: usize,
+    item_bytes: usize,
+) -> Result<&'a [u8], String> {
+    let (offset, count) = (u32_at(record, field_offset) as usize, u32_at(record, field_offset + 4) as usize);
+    let end = count.checked_mul(item_bytes).and_then(|n| n.checked_add(offset));
     end.and_then(|end| tail.get(offset..end)).ok_or_else(|| {
         format!("event code {}: tail offset {offset} and count {count} leave the frame", record[0])
     })
@@ -330,8 +335,8 @@
 }
 
 /// Encodes a duration as a signed 32-bit number of microseconds; longer durations become the maximum.
-fn encode_duration(time: Micros) -> [u8; 4] {
-    u32::try_from(time).unwrap_or(u32::MAX).min(i32::MAX as u32).to_le_bytes()
+fn encode_duration(duration: Micros) -> [u8; 4] {
+    u32::try_from(duration).unwrap_or(u32::MAX).min(i32::MAX as u32).to_le_bytes()
 }
 
 #[cfg(test)]
@@ -412,13 +417,18 @@
         body[15] = 50; // expected work
         body[19] = 5; // key
         body[32] = 1; // time left: 256
-        let second = EVENT_RECORD_BYTES;
-        (body[second], body[second + 3], body[second + 11], body[second + 15], body[second + 19]) =
-            (3, 9, 3, 40, 1);
-        body[second + 21] = 1;
-        body[second + 22..second + 24].copy_from_slice(&429u16.to_le_bytes());
-        (body[second + 24], body[second + 28]) = (6, 1);
-        body[second + 29..second + 33].copy_from_slice(&1.5f32.to_le_bytes());
+        let outcome_offset = EVENT_RECORD_BYTES;
+        (
+            body[outcome_offset],
+            body[outcome_offset + 3],
+            body[outcome_offset + 11],
+            body[outcome_offset + 15],
+            body[outcome_offset + 19],
+        ) = (3, 9, 3, 40, 1);
+        body[outcome_offset + 21] = 1;
+        body[outcome_offset + 22..outcome_offset + 24].copy_from_slice(&429u16.to_le_bytes());
+        (body[outcome_offset + 24], body[outcome_offset + 28]) = (6, 1);
+        body[outcome_offset + 29..outcome_offset + 33].copy_from_slice(&1.5f32.to_le_bytes());
         let request = Request {
             id: 9,
             class: 2,
--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -12,7 +12,7 @@
 use pondproxy::{Action, Event, Micros, Policy, ServerEntry, settings};
 
 /// Number of slots for server lists; the simulator refers to a list by its slot.
-const LIST_SLOTS: usize = 16;
+const MAX_LISTS: usize = 16;
 
 /// An instance of the decision module and the bounds for checking its requests.
 struct Instance {
@@ -23,14 +23,14 @@
 
 /// The instances, the numbered server lists that they share, and the reply under construction.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerEntry>>; LIST_SLOTS],
+    lists: [Option<Vec<ServerEntry>>; MAX_LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
 
-impl Host {
+impl Adapter {
     /// Passes all records of a batch on, in their order.
     fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
         for index in 0..header.record_count {
@@ -92,7 +92,7 @@
 }
 
 /// Fills `buffer` from the input. Returns `false` if the input ends before the first byte.
-fn read_or_end(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
+fn read_exact_or_eof(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
@@ -108,10 +108,10 @@
 
 /// Answers each batch of the input with one reply until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut header_bytes = [0u8; BATCH_HEADER_BYTES];
-    let (mut body, mut frame) = (Vec::new(), Vec::new());
-    while read_or_end(input, &mut header_bytes)? {
+    let (mut body, mut reply_frame) = (Vec::new(), Vec::new());
+    while read_exact_or_eof(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
         // `take` keeps a false length from reserving memory that is never filled.
         body.clear();
@@ -123,9 +123,12 @@
                 header.batch_number
             ));
         }
-        host.handle_batch(header, &body)?;
-        host.reply.write_frame(header.batch_number, &mut frame);
-        output.write_all(&frame).and_then(|()| output.flush()).map_err(|e| format!("writing failed: {e}"))?;
+        adapter.handle_batch(header, &body)?;
+        adapter.reply.write_frame(header.batch_number, &mut reply_frame);
+        output
+            .write_all(&reply_frame)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing failed: {e}"))?;
     }
     Ok(())
 }
--- a/tests/discovery_calls.rs
+++ b/tests/discovery_calls.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_call_that_timed_out_is_repeated_before_missed_changes_count_as_notified_in_any_fleet() {
+fn a_call_that_timed_out_is_repeated_before_missed_changes_count_as_notified_in_a_fleet_of_any_size() {
     let timed_out = (DiscoveryFailure::TimedOut, 2_500 * MS);
     let calls = next_call_delays(300, vec![server(1), origin()], Some(timed_out));
     assert!(calls[299] <= 3_000 * MS + MS, "2.5 of the 6 s since the last contact have passed: {calls:?}");
@@ -288,16 +288,17 @@
     /// Removes the call whose service has ended by `now`. Returns the balancer's index, the time of the call
     /// and whether it is answered.
     fn pop_completed(&mut self, now: Micros) -> Option<(usize, Micros, bool)> {
-        let (node, called_at, ends_at) = self.in_service.filter(|call| call.2 <= now)?;
+        let (balancer_index, called_at, ends_at) = self.in_service.filter(|call| call.2 <= now)?;
         self.start_next(ends_at);
-        Some((node, called_at, ends_at - self.service_time <= called_at + self.max_wait))
+        Some((balancer_index, called_at, ends_at - self.service_time <= called_at + self.max_wait))
     }
 
     /// Starts the service of the next waiting call at `now`, if there is one.
     fn start_next(&mut self, now: Micros) {
         let next = self.queue.pop_front();
-        self.in_service =
-            next.map(|(node, called_at)| (node, called_at, now.max(called_at) + self.service_time));
+        self.in_service = next.map(|(balancer_index, called_at)| {
+            (balancer_index, called_at, now.max(called_at) + self.service_time)
+        });
     }
 }
 
@@ -313,7 +314,7 @@
 /// Simulates a fleet whose watches all break when discovery goes down for `outage_s`. Returns, counted from
 /// the end of the outage, the times at which the balancers received their lists, and the number of calls that
 /// discovery rejected after that.
-fn outage(
+fn simulate_outage(
     balancer_count: u32,
     (service_time, max_wait): (Micros, Micros),
     mode: OutageMode,
@@ -335,32 +336,32 @@
     let mut fleet: Vec<_> = (0..balancer_count).map(start_balancer).collect();
     let mut discovery = DiscoveryModel { service_time, max_wait, queue: VecDeque::new(), in_service: None };
     let (mut now, available_from) = (100 * SECOND, (100 + outage_s) * SECOND);
-    let (mut list_delays, mut failed_calls, mut rejections) = (Vec::new(), 0, VecDeque::new());
+    let (mut list_delays, mut rejected_calls, mut rejections) = (Vec::new(), 0, VecDeque::new());
     while list_delays.len() < fleet.len() && now < available_from + 60 * SECOND {
         now += 5 * MS;
-        while let Some((node, called_at, answered)) = discovery.pop_completed(now) {
+        while let Some((balancer_index, called_at, answered)) = discovery.pop_completed(now) {
             if answered {
                 list_delays.push(now - available_from);
-                fleet[node].server_list(ListKind::Full, vec![server(1), origin()]);
+                fleet[balancer_index].server_list(ListKind::Full, vec![server(1), origin()]);
             } else {
-                failed_calls += 1;
-                rejections.push_back((node, called_at));
+                rejected_calls += 1;
+                rejections.push_back((balancer_index, called_at));
             }
         }
         // Rejected calls fail once their longest waiting time has passed, however long the queue is.
-        while let Some((node, called_at)) =
+        while let Some((balancer_index, called_at)) =
             rejections.pop_front_if(|(_, called_at)| *called_at + max_wait <= now)
         {
-            fail_discovery(&mut fleet[node], DiscoveryFailure::Failed, now - called_at);
+            fail_discovery(&mut fleet[balancer_index], DiscoveryFailure::Failed, now - called_at);
         }
-        for (index, node) in fleet.iter_mut().enumerate() {
+        for (balancer_index, node) in fleet.iter_mut().enumerate() {
             if node.advance(now - node.now).contains(&Action::Subscribe(true)) {
                 match mode {
-                    _ if now >= available_from => discovery.queue.push_back((index, now)),
+                    _ if now >= available_from => discovery.queue.push_back((balancer_index, now)),
                     OutageMode::RefusesConnections => {
                         drop(fail_discovery(node, DiscoveryFailure::Unreachable, 0))
                     }
-                    OutageMode::RejectsAfterWait => rejections.push_back((index, now)),
+                    OutageMode::RejectsAfterWait => rejections.push_back((balancer_index, now)),
                 }
             }
             node.actions.clear();
@@ -369,7 +370,7 @@
             discovery.start_next(now);
         }
     }
-    (list_delays, failed_calls)
+    (list_delays, rejected_calls)
 }
 
 /// Prints the table in `docs/findings/standing.md`:
@@ -394,7 +395,7 @@
                         total_time / MS
                     );
                     for outage_s in [8, 12, 31] {
-                        let (list_delays, failed_calls) = outage(
+                        let (list_delays, rejected_calls) = simulate_outage(
                             balancer_count,
                             (total_time / u64::from(balancer_count), max_wait),
                             mode,
@@ -403,7 +404,7 @@
                         let in_time = list_delays.iter().filter(|at| **at <= 6 * SECOND).count();
                         let last = list_delays.last().map_or(0, |at| at / MS);
                         let note = if list_delays.len() < balancer_count as usize { "not all" } else { "" };
-                        print!(" | {last:>6} {note} {in_time:>4} {failed_calls:>4}");
+                        print!(" | {last:>6} {note} {in_time:>4} {rejected_calls:>4}");
                     }
                     println!();
                 }
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -102,7 +102,7 @@
         node.advance(OUTAGE_START - node.now);
         node.actions.clear();
         node.deliver(Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 });
-        let move_times = MOVE_OFFSETS.map(|after| first_move + after).to_vec();
+        let move_times = MOVE_OFFSETS.map(|offset| first_move + offset).to_vec();
         Balancer { node, move_times, current_call: None, replaced_calls: Vec::new(), notified_at: None }
     }
 
@@ -176,7 +176,7 @@
 fn balancers_learn_of_a_drain_in_time_after_an_outage_while_discovery_is_overloaded_and_moves() {
     let mut failures = Vec::new();
     let outages = [6_500 * MS, 14_600 * MS];
-    let calls = [
+    let discovery_variants = [
         (50 * MS, OverloadResponse::RejectsAfterWait),
         (150 * MS, OverloadResponse::RejectsAfterWait),
         (263 * MS, OverloadResponse::RejectsAfterWait),
@@ -185,7 +185,7 @@
     ];
     for (balancer_count, runs) in [(3, 20), (6, 50), (8, 20)] {
         for outage in outages {
-            for (service_time, overload_response) in calls {
+            for (service_time, overload_response) in discovery_variants {
                 let lateness = (0..runs)
                     .map(|seed| max_lateness(balancer_count, seed, outage, service_time, overload_response));
                 let late_runs: Vec<_> = lateness.filter(|lateness| *lateness > 0).collect();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_server_that_fails_hits_is_ejected_although_it_still_answers_misses() {
-    let failures = |requests_per_s: f64| {
+    let failures_until_ejection = |requests_per_s: f64| {
         let (balancer_count, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * requests_per_s }]);
         let mut node = TestNode::new(Settings { balancer_count, tenants, ..settings() }, 4);
         let first = sent_to(&node.request(read(100, 9))).unwrap();
@@ -207,9 +207,9 @@
         }
         failures
     };
-    assert_eq!(failures(50.0), 3, "misses in between are no recovery");
+    assert_eq!(failures_until_ejection(50.0), 3, "misses in between are no recovery");
     assert_eq!(
-        failures(2.0),
+        failures_until_ejection(2.0),
         1,
         "a balancer that calls it rarely would meet the same failure again and again"
     );
@@ -255,7 +255,7 @@
 
 #[test]
 fn a_server_without_answers_since_a_nearly_late_attempt_is_presumed_overloaded() {
-    let sent_back = |wait: Micros| {
+    let sent_to_same_server = |wait: Micros| {
         let tenants = vec![Tenant { quota_per_s: 500.0 }];
         let config = Settings { balancer_count: 100, weights_are_capacities: true, tenants, ..settings() };
         let mut servers: Vec<_> = (1..=4).map(|id| ServerEntry { weight: 4.0, ..server(id) }).collect();
@@ -279,8 +279,12 @@
             })
             .count()
     };
-    assert_eq!(sent_back(100 * MS), 4, "slow, but not yet nearly late");
-    assert_eq!(sent_back(125 * MS), 0, "no load report shows it, and none comes before its answers");
+    assert_eq!(sent_to_same_server(100 * MS), 4, "slow, but not yet nearly late");
+    assert_eq!(
+        sent_to_same_server(125 * MS),
+        0,
+        "no load report shows it, and none comes before its answers"
+    );
 }
 
 #[test]
@@ -338,7 +342,7 @@
 }
 
 #[test]
-fn the_load_bound_is_wider_while_the_gate_has_no_room_for_the_fetch_after_a_skip() {
+fn the_load_bound_is_higher_while_the_gate_blocks_the_fetches_that_skipping_a_server_causes() {
     // In incident ia996fa the origin had room, and queues formed at a few servers; in incident iaa6bb1 the
     // gate blocked the fetches.
     let accepted_by_first = |gate_blocked: bool| {
@@ -372,7 +376,7 @@
 }
 
 #[test]
-fn a_closed_gate_defers_calls_with_jittered_backoff_and_requests_that_expire_deferred_are_shed() {
+fn blocked_calls_are_deferred_with_jittered_backoff_and_shed_if_they_expire_meanwhile() {
     let mut node = TestNode::new(Settings { tenants: vec![Tenant { quota_per_s: 1e3 }], ..settings() }, 3);
     let mut sent = 0;
     for id in 1..=20 {
@@ -535,7 +539,7 @@
 }
 
 #[test]
-fn malformed_answers_and_resets_are_retried_without_a_budget_and_do_not_eject_healthy_servers() {
+fn malformed_answers_and_resets_are_retried_outside_the_retry_budget_and_eject_no_healthy_server() {
     for status in [Status::Malformed, Status::Reset] {
         let mut node = TestNode::new(settings(), 4);
         for id in 1..=40 {
@@ -588,7 +592,7 @@
 }
 
 #[test]
-fn a_deduplicated_write_is_retried_only_while_a_connect_fits_into_its_window() {
+fn a_deduplicated_write_is_retried_only_while_a_connect_fits_into_the_deduplication_window() {
     for (elapsed_ms, connect_timeout_ms, retries) in [(100, 20, 1), (100, 90, 1), (100, 110, 0), (180, 20, 0)]
     {
         let mut node = TestNode::new(Settings { connect_timeout: connect_timeout_ms * MS, ..settings() }, 1);
@@ -698,20 +702,24 @@
 #[test]
 fn a_silent_server_is_ejected_and_readmitted_when_it_answers_a_trial() {
     let mut node = TestNode::new(Settings { may_duplicate: false, ..settings() }, 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let silent_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 2..=3 {
         node.request(read(id, 9));
     }
     node.advance(1600 * MS);
     for id in 1..=3 {
-        node.outcome(id, 0, victim, Status::TimedOut);
+        node.outcome(id, 0, silent_server, Status::TimedOut);
     }
-    assert_ne!(sent_to(&node.request(read(10, 9))), Some(victim), "ejected");
+    assert_ne!(sent_to(&node.request(read(10, 9))), Some(silent_server), "ejected");
     node.advance(10 * SECOND);
-    assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial attempt");
-    assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while the trial is in flight");
-    node.outcome(11, 0, victim, Status::Success);
-    assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "readmitted");
+    assert_eq!(sent_to(&node.request(read(11, 9))), Some(silent_server), "one trial attempt");
+    assert_ne!(
+        sent_to(&node.request(read(12, 9))),
+        Some(silent_server),
+        "no more while the trial is in flight"
+    );
+    node.outcome(11, 0, silent_server, Status::Success);
+    assert_eq!(sent_to(&node.request(read(13, 9))), Some(silent_server), "readmitted");
 }
 
 #[test]
@@ -741,19 +749,22 @@
 fn a_server_that_refused_connections_is_presumed_cold_when_it_answers_again() {
     // After a crash the server list shows the new process only seconds after that process accepts requests.
     let mut node = TestNode::new(settings(), 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let restarted_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=3 {
-        node.outcome(id, 0, victim, Status::ConnectFailed);
+        node.outcome(id, 0, restarted_server, Status::ConnectFailed);
         node.request(read(id + 1, 9));
     }
     node.advance(10 * SECOND);
-    let mut sent_to_victim = 0;
+    let mut sent_to_restarted_server = 0;
     for id in 10..200 {
         let to = sent_to(&node.request(read(id, id))).unwrap();
-        sent_to_victim += usize::from(to == victim);
+        sent_to_restarted_server += usize::from(to == restarted_server);
         node.outcome(id, 0, to, Status::Success);
     }
-    assert!((1..30).contains(&sent_to_victim), "few while presumed cold: {sent_to_victim} of about 48");
+    assert!(
+        (1..30).contains(&sent_to_restarted_server),
+        "few while presumed cold: {sent_to_restarted_server} of about 48"
+    );
 }
 
 #[test]
@@ -772,7 +783,7 @@
 }
 
 #[test]
-fn a_full_server_does_not_spread_its_keys_along_their_order() {
+fn requests_for_a_key_whose_first_servers_are_full_are_shed_and_not_spread_over_the_fleet() {
     // Full servers passed their keys on to servers that did not have them: the caches lost their contents,
     // and fetches were two fifths of all sends.
     let mut node = TestNode::just_started(settings(), 12);
@@ -788,10 +799,10 @@
 fn a_server_that_returns_errors_quickly_is_ejected() {
     // Quick errors made a server look idle, so that it attracted ever more requests.
     let mut node = TestNode::new(settings(), 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let failing_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=8 {
         let status = if id % 4 == 0 { Status::Success } else { Status::Error };
-        node.outcome(id, 0, victim, status);
+        node.outcome(id, 0, failing_server, status);
         node.request(read(id + 1, 9));
     }
     assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("set aside"))));
@@ -1014,19 +1025,19 @@
 }
 
 #[test]
-fn an_overdue_answer_overtaken_by_later_ones_is_presumed_lost_and_its_call_is_retried() {
+fn an_overdue_answer_overtaken_by_later_answers_is_presumed_lost_and_its_request_is_retried() {
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 1);
     // The cache server and the origin answer in 20 ms.
-    let answer_one = |node: &mut TestNode, id: RequestId, write: bool| {
+    let send_and_answer = |node: &mut TestNode, id: RequestId, write: bool| {
         let request = if write { self::write(id, 1) } else { read(id, id) };
         let server = sent_to(&node.request(request)).unwrap();
         node.advance(20 * MS);
         node.outcome(id, 0, server, Status::Success);
     };
-    (1..=20).for_each(|id| answer_one(&mut node, id, id % 2 == 0));
+    (1..=20).for_each(|id| send_and_answer(&mut node, id, id % 2 == 0));
     node.request(read(100, 100));
     node.request(write(101, 1));
-    (21..=24).for_each(|id| answer_one(&mut node, id, id % 2 == 0));
+    (21..=24).for_each(|id| send_and_answer(&mut node, id, id % 2 == 0));
     let actions = node.advance(300 * MS);
     let sends_of =
         |id| actions.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == id)).count();
@@ -1045,14 +1056,14 @@
     let mut config = settings();
     config.classes[0].late_value_fraction = 0.3;
     let mut node = TestNode::new(config, 1);
-    let answer_one = |node: &mut TestNode, id: RequestId| {
+    let send_and_answer = |node: &mut TestNode, id: RequestId| {
         node.request(read(id, id));
         node.advance(200 * MS);
         node.outcome(id, 0, 1, Status::Success);
     };
-    (1..=20).for_each(|id| answer_one(&mut node, id));
+    (1..=20).for_each(|id| send_and_answer(&mut node, id));
     node.request(read(100, 100));
-    (21..=22).for_each(|id| answer_one(&mut node, id));
+    (21..=22).for_each(|id| send_and_answer(&mut node, id));
     let actions = node.advance(1_090 * MS);
     let is_send = |a: &Action| matches!(a, Action::Send { request: 100, .. });
     assert_eq!(actions.iter().filter(|a| is_send(a)).count(), 1, "{actions:?}");
@@ -1287,7 +1298,7 @@
 }
 
 #[test]
-fn non_finite_settings_and_weights_are_tolerated() {
+fn non_finite_numbers_and_negative_weights_are_tolerated() {
     let config = Settings {
         tenants: vec![Tenant { quota_per_s: f64::NAN }, Tenant { quota_per_s: f64::INFINITY }],
         weights_are_capacities: true,
@@ -1327,7 +1338,7 @@
 }
 
 #[test]
-fn a_server_filled_by_other_balancers_is_skipped_because_of_its_live_weight() {
+fn a_server_loaded_by_other_balancers_is_skipped_when_its_weight_follows_its_load() {
     // When all servers were slow, queues held twelve requests per core; each balancer saw one of its own.
     let config = Settings { weights_follow_load: true, may_duplicate: false, ..settings() };
     let mut node = TestNode::new(config, 3);
@@ -1363,7 +1374,7 @@
 }
 
 #[test]
-fn overtaken_timers_do_not_set_further_timers() {
+fn superseded_timers_do_not_set_further_timers() {
     // Each overtaken timer set another one when it fired, without end, so that a balancer that had been busy
     // for a while spent its time on timers.
     let mut node = TestNode::new(settings(), 5);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -136,7 +136,7 @@
     open_requests: BTreeMap<RequestId, OpenRequest>,
     /// Attempts in flight: request, number of the attempt, server.
     attempts_in_flight: Vec<(RequestId, u16, ServerId)>,
-    due_times: Vec<u64>,
+    timer_due_times: Vec<u64>,
     action_log: Vec<Action>,
 }
 
@@ -159,7 +159,7 @@
             server_entries: (0..8).map(|id| (id, initial_entry(id))).collect(),
             open_requests: BTreeMap::new(),
             attempts_in_flight: Vec::new(),
-            due_times: Vec::new(),
+            timer_due_times: Vec::new(),
             action_log: Vec::new(),
         };
         environment.deliver_server_list(ListKind::Cached);
@@ -213,11 +213,11 @@
                     }
                     Idempotency::Deduplicated { scope, window } => {
                         for earlier_attempt in possibly_executed {
-                            let first_server = &self.server_entries[&earlier_attempt.server];
+                            let earlier_server = &self.server_entries[&earlier_attempt.server];
                             let in_scope = match scope {
                                 DedupScope::All => true,
-                                DedupScope::Zone => first_server.zone == entry.zone,
-                                DedupScope::Cell => first_server.cell == entry.cell,
+                                DedupScope::Zone => earlier_server.zone == entry.zone,
+                                DedupScope::Cell => earlier_server.cell == entry.cell,
                             };
                             assert!(
                                 in_scope && self.now < earlier_attempt.sent_at + window,
@@ -244,7 +244,7 @@
             Action::Fail(request) => {
                 self.open_requests.remove(request).expect("a second final answer");
             }
-            Action::Timer { delay, .. } => self.due_times.push(self.now + (*delay).max(1)),
+            Action::Timer { delay, .. } => self.timer_due_times.push(self.now + (*delay).max(1)),
             Action::Tell { bytes, .. } => assert!(self.settings.may_message_peers && bytes.len() <= 256),
             Action::Probe(_) | Action::Cancel { .. } => {
                 panic!("probes and cancellations are not allowed by these settings")
@@ -256,7 +256,7 @@
     /// Advances the clock and fires the timers that come due.
     fn advance(&mut self, time: u64) {
         let end = self.now + time;
-        while let Some(due) = pop_due(&mut self.due_times, end) {
+        while let Some(due) = pop_due(&mut self.timer_due_times, end) {
             self.now = due;
             self.deliver(Event::Timer(0));
             let now = self.now;
@@ -367,7 +367,7 @@
                 self.policy = Policy::new(self.settings.clone(), 4);
                 self.open_requests.clear();
                 self.attempts_in_flight.clear();
-                self.due_times.clear();
+                self.timer_due_times.clear();
                 self.deliver_server_list(ListKind::Cached);
             }
             _ => {}
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -39,13 +39,13 @@
     }
 
     /// Adds the start of an instance.
-    fn start_instance(&mut self, instance_id: u16, settings: &str) -> &mut Self {
+    fn push_start(&mut self, instance_id: u16, settings: &str) -> &mut Self {
         let tail_field = self.append_to_tail(settings.as_bytes(), settings.len());
         self.push_record(5, instance_id, &[(3, &7u64.to_le_bytes()), (11, &tail_field)])
     }
 
     /// Adds a numbered list of ready servers (id, machine type) and an event that refers the instance to it.
-    fn send_list(&mut self, instance_id: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
+    fn push_list(&mut self, instance_id: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
         let mut entries = Vec::new();
         for (id, machine_type) in servers {
             entries.extend_from_slice(&[0; 9]);
@@ -61,7 +61,7 @@
     }
 
     /// Adds a request.
-    fn send_request(&mut self, instance_id: u16, id: u64, key: u64) -> &mut Self {
+    fn push_request(&mut self, instance_id: u16, id: u64, key: u64) -> &mut Self {
         let time_left = 1_500_000u32.to_le_bytes();
         self.push_record(
             4,
@@ -71,7 +71,7 @@
     }
 
     /// Adds the outcome of an attempt.
-    fn send_outcome(
+    fn push_outcome(
         &mut self,
         instance_id: u16,
         id: u64,
@@ -120,15 +120,15 @@
 
 /// Splits an output into replies and returns the action records of each.
 fn decode_replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
-    let mut batches = Vec::new();
+    let mut replies = Vec::new();
     while !output.is_empty() {
         let (count, length) = (u32_at(output, 0) as usize, u32_at(output, 4) as usize);
         assert!(length >= count * 24);
         let body = &output[12..12 + length];
-        batches.push((0..count).map(|i| body[i * 24..(i + 1) * 24].to_vec()).collect());
+        replies.push((0..count).map(|i| body[i * 24..(i + 1) * 24].to_vec()).collect());
         output = &output[12 + length..];
     }
-    batches
+    replies
 }
 
 /// Returns the attempts that these action records send: instance, request and server.
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn empty_input_exits_successfully_without_output() {
+fn the_adapter_exits_successfully_and_without_output_on_empty_input() {
     let output = run_adapter(&[]);
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
@@ -167,7 +167,7 @@
         decode_replies(&[&header[..], &body[..]].concat()).remove(0)
     };
     let mut first = Batch::default();
-    first.start_instance(3, SETTINGS).send_list(3, 0, 1, &[(11, 0), (500, 1)]).send_request(3, 77, 9);
+    first.push_start(3, SETTINGS).push_list(3, 0, 1, &[(11, 0), (500, 1)]).push_request(3, 77, 9);
     let actions = exchange(&first, 1_000_000, 1);
     assert_eq!(sent_attempts(&actions), [(3, 77, 11)]);
     assert!(
@@ -175,10 +175,10 @@
         "subscribes where the balancer must ask discovery"
     );
     let mut second = Batch::default();
-    second.send_outcome(3, 77, 0, 11, 204);
+    second.push_outcome(3, 77, 0, 11, 204);
     assert_eq!(sent_attempts(&exchange(&second, 1_010_000, 2)), [(3, 77, 500)]);
     let mut third = Batch::default();
-    third.send_outcome(3, 77, 1, 500, 200);
+    third.push_outcome(3, 77, 1, 500, 200);
     assert_eq!(sent_attempts(&exchange(&third, 1_020_000, 3)), []);
     drop(stdin);
     assert!(child.wait().unwrap().success());
@@ -187,9 +187,9 @@
 #[test]
 fn list_numbers_are_resolved_in_the_order_of_events() {
     let mut batch = Batch::default();
-    batch.start_instance(0, SETTINGS).start_instance(1, SETTINGS);
-    batch.send_list(0, 4, 1, &[(11, 0)]).send_list(1, 4, 1, &[(22, 0)]);
-    batch.send_request(0, 1, 9).send_request(1, 2, 9);
+    batch.push_start(0, SETTINGS).push_start(1, SETTINGS);
+    batch.push_list(0, 4, 1, &[(11, 0)]).push_list(1, 4, 1, &[(22, 0)]);
+    batch.push_request(0, 1, 9).push_request(1, 2, 9);
     let output = run_adapter(&batch.encode(1_000_000, 1));
     assert_eq!(sent_attempts(&decode_replies(&output.stdout)[0]), [(0, 1, 11), (1, 2, 22)]);
 }
@@ -197,12 +197,8 @@
 #[test]
 fn an_instance_stopped_and_started_in_one_batch_keeps_no_state() {
     let mut batch = Batch::default();
-    batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]);
-    batch
-        .push_record(7, 0, &[])
-        .start_instance(0, SETTINGS)
-        .send_list(0, 1, 1, &[(12, 0)])
-        .send_request(0, 1, 9);
+    batch.push_start(0, SETTINGS).push_list(0, 0, 1, &[(11, 0)]);
+    batch.push_record(7, 0, &[]).push_start(0, SETTINGS).push_list(0, 1, 1, &[(12, 0)]).push_request(0, 1, 9);
     let output = run_adapter(&batch.encode(1_000_000, 1));
     assert_eq!(sent_attempts(&decode_replies(&output.stdout)[0]), [(0, 1, 12)]);
 }
@@ -210,7 +206,7 @@
 #[test]
 fn every_event_code_and_outcome_code_is_accepted() {
     let mut batch = Batch::default();
-    batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]).send_request(0, 1, 9);
+    batch.push_start(0, SETTINGS).push_list(0, 0, 1, &[(11, 0)]).push_request(0, 1, 9);
     let message = batch.append_to_tail(b"hello", 5);
     batch.push_record(1, 0, &[(3, &99u64.to_le_bytes())]);
     batch.push_record(2, 0, &[(3, &5u32.to_le_bytes())]);
@@ -219,16 +215,16 @@
     batch.push_record(10, 0, &[(9, &[2])]);
     batch.push_record(11, 0, &[(3, &1u32.to_le_bytes()), (7, &message)]);
     for (attempt, status) in [200, 502, 429, 408, 521, 520, 444, 409, 204].into_iter().enumerate() {
-        batch.send_outcome(0, 1, attempt as u16, 11, status);
+        batch.push_outcome(0, 1, attempt as u16, 11, status);
     }
     assert!(run_adapter(&batch.encode(1_000_000, 1)).status.success());
 }
 
 #[test]
-fn malformed_input_exits_with_one_error_line_and_without_a_partial_reply() {
+fn the_adapter_exits_on_malformed_input_with_one_error_line_and_without_a_partial_reply() {
     let frame_after_start = |add_records: &dyn Fn(&mut Batch)| {
         let mut batch = Batch::default();
-        batch.start_instance(0, SETTINGS).send_list(0, 0, 1, &[(11, 0)]);
+        batch.push_start(0, SETTINGS).push_list(0, 0, 1, &[(11, 0)]);
         add_records(&mut batch);
         batch.encode(1_000_000, 1)
     };
@@ -238,10 +234,10 @@
     let mut with_excessive_records = valid_frame.clone();
     with_excessive_records[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut bad_settings = Batch::default();
-    bad_settings.start_instance(0, "{\"classes\": 3}");
+    bad_settings.push_start(0, "{\"classes\": 3}");
     let mut bad_effect = Batch::default();
-    bad_effect.start_instance(0, "{\"classes\": [{\"effect\": \"maybe\"}]}");
-    let out_of_range_part = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
+    bad_effect.push_start(0, "{\"classes\": [{\"effect\": \"maybe\"}]}");
+    let out_of_range_tail_field = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("truncated frame", valid_frame[..10].to_vec()),
         ("truncated frame", valid_frame[..60].to_vec()),
@@ -256,7 +252,7 @@
         (
             "unknown instance 5",
             frame_after_start(&|batch| {
-                batch.send_request(5, 1, 9);
+                batch.push_request(5, 1, 9);
             }),
         ),
         (
@@ -268,19 +264,19 @@
         (
             "unknown outcome 999",
             frame_after_start(&|batch| {
-                batch.send_outcome(0, 1, 0, 11, 999);
+                batch.push_outcome(0, 1, 0, 11, 999);
             }),
         ),
         (
             "leave the frame",
             frame_after_start(&|batch| {
-                batch.push_record(9, 0, &[(3, &out_of_range_part)]);
+                batch.push_record(9, 0, &[(3, &out_of_range_tail_field)]);
             }),
         ),
         (
             "leave the frame",
             frame_after_start(&|batch| {
-                batch.push_record(11, 0, &[(7, &out_of_range_part)]);
+                batch.push_record(11, 0, &[(7, &out_of_range_tail_field)]);
             }),
         ),
         (
