--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -82,7 +82,8 @@
 }
 
 /// Returns the event of a failed call to discovery. The simulator reports neither the kind of failure nor the
-/// time without contact; its calls reach discovery and fail, and it reports this at once.
+/// time since the last contact. In the simulation, a call that fails has reached discovery, and its failure
+/// is reported at once, hence `Failed` and 0.
 fn discovery_call_failed() -> pondproxy::Event {
     pondproxy::Event::DiscoveryFailed { failure: DiscoveryFailure::Failed, since_last_contact: 0 }
 }
@@ -120,7 +121,7 @@
             let kind = match record[9] {
                 0 => ListKind::Full,
                 1 => ListKind::Cached,
-                // The record does not say which call failed, nor how.
+                // The record does not say which call to discovery failed, nor how.
                 2 => return Ok(Record::Event(instance_id, discovery_call_failed())),
                 3 => ListKind::Delta,
                 other => return Err(format!("roster_change of unknown kind {other}")),
@@ -192,7 +193,7 @@
         0 => ServerState::Removed,
         1 => ServerState::Ready,
         2 => ServerState::Draining,
-        other => return Err(format!("census line with unknown condition {other}")),
+        other => return Err(format!("census entry with unknown state {other}")),
     };
     Ok(ServerEntry {
         zone: record[0],
@@ -205,7 +206,8 @@
     })
 }
 
-/// Returns the items of `size` bytes in the tail that the field at `at` refers to by offset and count.
+/// Returns the items in the tail, `item_bytes` each, to which the field at `field_offset` in the record
+/// refers by their offset and count.
 fn tail_slice<'a>(
     tail: &'a [u8],
     record: &[u8],
@@ -409,7 +411,7 @@
     #[test]
     fn requests_and_outcomes_are_decoded_from_their_offsets() {
         let mut body = vec![0u8; 2 * EVENT_RECORD_BYTES];
-        body[0] = 4;
+        body[0] = 4; // event code
         body[3] = 9; // id
         body[11] = 1; // tenant
         body[13] = 7; // expected work present, client retry, write
@@ -418,6 +420,7 @@
         body[19] = 5; // key
         body[32] = 1; // time left: 256
         let outcome_offset = EVENT_RECORD_BYTES;
+        // Event code, request, lookup, elapsed time and attempt.
         (
             body[outcome_offset],
             body[outcome_offset + 3],
@@ -425,9 +428,9 @@
             body[outcome_offset + 15],
             body[outcome_offset + 19],
         ) = (3, 9, 3, 40, 1);
-        body[outcome_offset + 21] = 1;
+        body[outcome_offset + 21] = 1; // request finished
         body[outcome_offset + 22..outcome_offset + 24].copy_from_slice(&429u16.to_le_bytes());
-        (body[outcome_offset + 24], body[outcome_offset + 28]) = (6, 1);
+        (body[outcome_offset + 24], body[outcome_offset + 28]) = (6, 1); // server, number of load values
         body[outcome_offset + 29..outcome_offset + 33].copy_from_slice(&1.5f32.to_le_bytes());
         let request = Request {
             id: 9,
--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -11,10 +11,11 @@
 use codec::{BATCH_HEADER_BYTES, BatchHeader, Record, Reply};
 use pondproxy::{Action, Event, Micros, Policy, ServerEntry, settings};
 
-/// Number of slots for server lists; the simulator refers to a list by its slot.
+/// Number of server lists that can be stored; the simulator refers to a list by its number, from 0.
 const MAX_LISTS: usize = 16;
 
-/// An instance of the decision module and the bounds for checking its requests.
+/// An instance of the decision module, and the numbers of classes and tenants in its settings, against which
+/// its requests are checked.
 struct Instance {
     policy: Policy,
     class_count: usize,
@@ -31,7 +32,7 @@
 }
 
 impl Adapter {
-    /// Passes all records of a batch on, in their order.
+    /// Handles all event records of a batch in their order.
     fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
         for index in 0..header.record_count {
             let record = codec::read_record(body, header.record_count, index)
@@ -77,10 +78,10 @@
         let instance = instance.ok_or_else(|| format!("event for unknown instance {instance_id}"))?;
         if let Event::Request(request) = &event {
             if request.class >= instance.class_count {
-                return Err(format!("request of class {} that the settings do not have", request.class));
+                return Err(format!("request with class {}, which is not in the settings", request.class));
             }
             if request.tenant >= instance.tenant_count.max(1) {
-                return Err(format!("request of tenant {} that the settings do not have", request.tenant));
+                return Err(format!("request with tenant {}, which is not in the settings", request.tenant));
             }
         }
         instance.policy.handle(now, event, &mut self.actions);
@@ -113,7 +114,8 @@
     let (mut body, mut reply_frame) = (Vec::new(), Vec::new());
     while read_exact_or_eof(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
-        // `take` keeps a false length from reserving memory that is never filled.
+        // `read_to_end` enlarges the buffer only as bytes arrive. A buffer of the length in the header would
+        // reserve memory that is never filled if that length is false.
         body.clear();
         let received = input.by_ref().take(header.body_length as u64).read_to_end(&mut body);
         let received = received.map_err(|e| format!("reading the input failed: {e}"))?;
@@ -128,7 +130,7 @@
         output
             .write_all(&reply_frame)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("writing failed: {e}"))?;
+            .map_err(|e| format!("writing the reply failed: {e}"))?;
     }
     Ok(())
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -56,12 +56,12 @@
     ServerEntry { id: ORIGIN, machine_type: ORIGIN_MACHINE_TYPE, ..ServerEntry::default() }
 }
 
-/// Returns a read of class 0.
+/// Returns a read of class 0 with 1.5 s left.
 pub fn read(id: RequestId, key: Key) -> Request {
     Request { id, key, time_left: 1500 * MS, ..Request::default() }
 }
 
-/// Returns a write of the given class.
+/// Returns a write of the given class with 300 ms left, whatever the deadline of the class.
 pub fn write(id: RequestId, class: usize) -> Request {
     Request { id, key: 5, class, write: true, time_left: 300 * MS, ..Request::default() }
 }
@@ -74,8 +74,8 @@
         node
     }
 
-    /// Returns a node with cache servers 1 to `server_count` and an origin, at a clock of 60 s; all servers
-    /// have been running for a long time.
+    /// Returns a node with cache servers 1 to `server_count` and an origin, all of which have been running
+    /// for a long time. The clock is at 60 s.
     pub fn just_started(settings: Settings, server_count: u32) -> Self {
         let mut servers: Vec<_> = (1..=server_count).map(server).collect();
         servers.push(origin());
@@ -112,7 +112,7 @@
         self.deliver(Event::Request(request))
     }
 
-    /// Delivers the outcome of an attempt; a successful one finishes its request.
+    /// Delivers the outcome of an attempt; a successful attempt finishes its request.
     pub fn outcome(
         &mut self,
         request: RequestId,
--- a/tests/discovery_calls.rs
+++ b/tests/discovery_calls.rs
@@ -1,8 +1,8 @@
 //! Tests of the times at which the decision module calls discovery (`Action::Subscribe(true)`).
 //!
 //! Discovery serves calls one after another, so the calls of many balancers have to be spread. A balancer
-//! counts as notified of a change 6 s after it could have asked for it, so the next call must come before
-//! that.
+//! counts as notified of a change 6 s after it could have asked discovery for that change, so its next call
+//! must come before those 6 s have passed.
 #![allow(missing_docs)]
 
 mod common;
@@ -38,7 +38,7 @@
     let started_at = node.now;
     while !node.actions.contains(&Action::Subscribe(true)) {
         node.advance(MS);
-        assert!(node.now < started_at + 60 * SECOND, "no call at all");
+        assert!(node.now < started_at + 60 * SECOND, "no call to discovery within 60 s");
     }
     node.actions.clear();
     node.now - started_at
@@ -123,7 +123,7 @@
     node.deliver(Event::DiscoveryMoved);
     fail_discovery(&mut node, DiscoveryFailure::Failed, 0);
     let calls = node.advance(20 * SECOND).into_iter().filter(|a| *a == Action::Subscribe(true)).count();
-    assert_eq!(calls, 1, "each call costs discovery the same");
+    assert_eq!(calls, 1, "one call serves all pending ones, and each call costs discovery the same");
     let mut waits = (0..40).map(|_| {
         node.server_list(ListKind::Full, vec![server(1), origin()]);
         fail_discovery(&mut node, DiscoveryFailure::Failed, 0);
@@ -152,7 +152,8 @@
 }
 
 /// However often discovery rejects a call, its changes count as notified 6 s after the last contact, and 4 s
-/// after a move. A call has to come shortly before that, and not only a fixed time after the previous call.
+/// after discovery moved to another address. A call has to come shortly before that, and not only a fixed
+/// time after the previous call.
 #[test]
 fn a_small_fleet_calls_shortly_before_missed_changes_count_as_notified() {
     let failures = [
@@ -348,7 +349,8 @@
                 rejections.push_back((balancer_index, called_at));
             }
         }
-        // Rejected calls fail once their longest waiting time has passed, however long the queue is.
+        // A rejected call fails `max_wait` after it was made, or when its turn in the queue ends if that is
+        // later.
         while let Some((balancer_index, called_at)) =
             rejections.pop_front_if(|(_, called_at)| *called_at + max_wait <= now)
         {
--- a/tests/discovery_moves.rs
+++ b/tests/discovery_moves.rs
@@ -1,14 +1,14 @@
-//! Tests when the balancers of a small fleet learn of a drain, while discovery has been down before, is
-//! overloaded and moves.
+//! Tests that the balancers of a small fleet learn of a drain in time when it begins shortly after an outage
+//! of discovery, while discovery is overloaded and changes its address.
 //!
-//! Guards against this failure: servers began to drain 1.6 s after discovery returned from an outage, and
-//! from 0.8 s later on discovery moved four times for each of six nodes. Reads still went to the draining
-//! servers after the grace time. Calls that failed during the outage lengthened the pauses before later calls
-//! to up to 4.5 s, and a discovery that takes 263 ms for a call rejects some when six nodes call within half
-//! a second. After one such rejection at the wrong time, the next call came long after the drain counted as
-//! notified. Simulated with the figures of that failure, the last node learned of the drain up to 2.7 s too
-//! late in 9 of 400 runs, and up to 8.3 s too late in 134 of 400 runs where discovery lets a call wait before
-//! it rejects it.
+//! Guards against this failure: servers began to drain 1.6 s after an outage of discovery ended. From 0.8 s
+//! later on, each of six nodes received four configurations with a new address of discovery. Reads still went
+//! to the draining servers after the grace time. Calls that failed during the outage had lengthened the
+//! pauses before later calls to up to 4.5 s, and a discovery that takes 263 ms for a call rejects some calls
+//! when six nodes call within half a second. When the last call before the drain counted as notified was
+//! rejected, the next one came long after that. In simulations with these figures, the last node learned of
+//! the drain up to 2.7 s too late in 9 of 400 runs. With a discovery that lets a call wait before it rejects
+//! the call, the last node learned of it up to 8.3 s too late in 134 of 400 runs.
 #![allow(missing_docs)]
 
 mod common;
@@ -20,16 +20,16 @@
 const ROUND_TRIP: Micros = 20 * MS;
 /// Time at which all watches break and discovery goes down.
 const OUTAGE_START: Micros = 100 * SECOND;
-/// Time between the balancers' receipts of the same configuration.
+/// Time from one balancer's receipt of a configuration to the next balancer's receipt of it.
 const MOVE_STAGGER: Micros = 400 * MS;
-/// Times at which a balancer receives its configurations, counted from its first.
+/// Times at which a balancer receives configurations with a new address of discovery, counted from the first.
 const MOVE_OFFSETS: [Micros; 4] = [0, 300 * MS, 700 * MS, 1_600 * MS];
 /// Time for which connections to the former address of discovery stay open after a move.
 const OLD_CONNECTION_LIFETIME: Micros = 1_500 * MS;
 /// Time after which a change counts as notified, from when a balancer could have asked for it.
 const NOTIFIED_AFTER: Micros = 6 * SECOND;
-/// Time after which a change counts as notified, from the signal that brings a balancer its first
-/// configuration.
+/// Time after which a change counts as notified, from the signal with which a balancer receives the first of
+/// these configurations.
 const NOTIFIED_AFTER_SIGNAL: Micros = 4 * SECOND;
 /// Time after the notification by which sends to a draining server must have stopped.
 const DRAIN_GRACE: Micros = SECOND;
@@ -81,7 +81,7 @@
 /// A balancer and its calls to discovery.
 struct Balancer {
     node: TestNode,
-    /// Times of the configurations that it has yet to receive.
+    /// Times at which the balancer will receive the remaining configurations.
     move_times: Vec<Micros>,
     /// The latest call, or the watch that it became.
     current_call: Option<Call>,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -43,8 +43,13 @@
     for id in 2..=12 {
         chosen.push(sent_to(&node.request(read(id, 9))).unwrap());
     }
-    assert_eq!(&chosen[..4], [first; 4], "up to the minimum bound the key order holds");
-    // With a minimum bound of eight attempts per balancer, the busiest server had seven times the mean load.
+    assert_eq!(
+        &chosen[..4],
+        [first; 4],
+        "up to the minimum bound, reads go to the first server of the key's order"
+    );
+    // With a minimum bound of eight attempts for each balancer instead of for all balancers together, the
+    // busiest server had seven times the mean load.
     assert_ne!(chosen[4], first, "over the bound the next server is used");
 }
 
@@ -76,7 +81,7 @@
     assert_eq!(
         reads_sent_elsewhere(50.0, 40.0, MS),
         20,
-        "in progress for other balancers, none for this one"
+        "requests of other balancers are in progress there, and none of this one"
     );
     let some = reads_sent_elsewhere(50.0, 12.0, MS);
     assert!(
@@ -283,7 +288,7 @@
     assert_eq!(
         sent_to_same_server(125 * MS),
         0,
-        "no load report shows it, and none comes before its answers"
+        "overloaded, but no load report shows this: reports come only with answers"
     );
 }
 
@@ -343,8 +348,8 @@
 
 #[test]
 fn the_load_bound_is_higher_while_the_gate_blocks_the_fetches_that_skipping_a_server_causes() {
-    // In incident ia996fa the origin had room, and queues formed at a few servers; in incident iaa6bb1 the
-    // gate blocked the fetches.
+    // One incident had queues at a few servers while the origin had room; in another, the gate blocked the
+    // fetches.
     let accepted_by_first = |gate_blocked: bool| {
         let mut node = TestNode::new(Settings { balancer_count: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| gate_blocked) {
@@ -388,7 +393,7 @@
     assert_eq!(count_sends(&node.advance(8 * MS)), 1, "an outcome frees a slot and one more call is sent");
     let later = node.advance(SECOND);
     let shed = (11..=20).filter(|id| is_shed(&later, *id)).count();
-    assert_eq!(shed, 9, "what was never sent is shed, not failed");
+    assert_eq!(shed, 9, "requests that were never sent are shed and do not fail");
 }
 
 #[test]
@@ -404,7 +409,7 @@
     }
     assert_eq!(
         sent, 18,
-        "18.75 of 100 per second in the window of 187 ms, a quarter of the longest latency target"
+        "100 per second allow 18.75 in the window of 187 ms, a quarter of the longest latency target"
     );
 }
 
@@ -417,7 +422,7 @@
         let first = sent_to(&node.request(read(*id, 100 + id))).unwrap();
         sent_to(&node.outcome(*id, 0, first, Status::Miss)) == Some(ORIGIN)
     });
-    assert_eq!(fetched.count(), 6, "within the fetches' share of the in-flight limit");
+    assert_eq!(fetched.count(), 6, "six fetches fit into their share of the in-flight limit");
 }
 
 #[test]
@@ -549,7 +554,7 @@
             let third = sent_to(&node.outcome(id, 1, second, status)).expect("retried again");
             assert_ne!(first, third, "the second retry goes to the next server");
             node.outcome(id, 2, third, Status::Success);
-            // Other requests for its keys are answered well.
+            // The server answers other requests for the key successfully.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
                 assert_eq!(server, first, "neither ejected nor presumed cold");
@@ -742,7 +747,10 @@
             attempt += 1;
         }
     }
-    assert!(sent_to(&node.request(read(100, 3))).is_some(), "attempts continue, since the cause is shared");
+    assert!(
+        sent_to(&node.request(read(100, 3))).is_some(),
+        "attempts continue: if all servers fail, no other server is better"
+    );
 }
 
 #[test]
@@ -784,8 +792,8 @@
 
 #[test]
 fn requests_for_a_key_whose_first_servers_are_full_are_shed_and_not_spread_over_the_fleet() {
-    // Full servers passed their keys on to servers that did not have them: the caches lost their contents,
-    // and fetches were two fifths of all sends.
+    // Requests that full servers could not take were sent to servers that did not have the values: the caches
+    // lost their contents, and fetches were two fifths of all sends.
     let mut node = TestNode::just_started(settings(), 12);
     let mut servers_seen = std::collections::BTreeSet::new();
     for id in 1..=60 {
@@ -882,7 +890,8 @@
             node.outcome(id, 0, to, Status::Success);
         }
     }
-    // The bound was also missed while one attempt was counted twice, when slow and when nearly late.
+    // This assertion also failed while one attempt counted as two overload signals, when it became slow and
+    // when it was nearly late.
     assert!((30..80).contains(&sent_of_last_200), "{sent_of_last_200} of the last 200 sent");
 }
 
@@ -909,7 +918,8 @@
 
 #[test]
 fn the_policy_sends_no_peer_messages_and_tolerates_any_it_receives() {
-    // Messages from each of 515 balancers to all others made 12,360 broadcasts in 18 s, and the run failed.
+    // When each of 515 balancers sent messages to all others, these were 12,360 broadcasts in 18 s, and the
+    // test run failed.
     let mut config = settings();
     (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
@@ -944,7 +954,8 @@
 
 #[test]
 fn one_of_many_balancers_admits_a_tenant_within_its_quota_and_limits_one_at_three_times_its_quota() {
-    // At 515 balancers, a rate extrapolated from one request per second shed tenants within their quotas.
+    // With 515 balancers, tenants within their quotas were shed because their rates had been extrapolated
+    // from one request per second.
     let config = Settings {
         balancer_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
@@ -955,7 +966,8 @@
     let (mut sent, mut offered) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         node.advance(250 * MS);
-        let tenant = usize::from(id % 6 == 0); // 3.3 per second and 0.67 per second; quota share 1 each.
+        // Tenant 0 sends 3.3 requests per second, tenant 1 sends 0.67; the quota share of each is 1.
+        let tenant = usize::from(id % 6 == 0);
         let actions = node.request(Request { tenant, ..read(id, id) });
         (offered[tenant], sent[tenant]) = (offered[tenant] + 1, sent[tenant] + count_sends(&actions));
         if let Some(to) = sent_to(&actions) {
@@ -978,7 +990,7 @@
         let mut node = TestNode::just_started(config, 70);
         let mut shed = 0;
         for id in 1..=200u64 {
-            node.advance(125 * MS); // Eight per second, where the equal share is two.
+            node.advance(125 * MS); // Eight requests per second, where the equal share is two.
             let actions = node.request(read(id, id));
             shed += usize::from(id > 100 && count_sends(&actions) == 0);
             let Some(server) = sent_to(&actions) else { continue };
@@ -1014,8 +1026,8 @@
     node.request(read(1, 9));
     let at_target = node.advance(760 * MS);
     assert!(is_shed(&at_target, 1) && at_target.contains(&Action::Cancel { request: 1, attempt: 0 }));
-    // A fetch cancelled at the latency target was never stored, and the origin's work was wasted: the result
-    // of the bench day rough-2 fell by a quarter.
+    // While fetches were cancelled at the latency target, their values were never stored and the origin's
+    // work was wasted: the result of one benchmark run fell by a quarter.
     let mut node = TestNode::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     let first = sent_to(&node.request(read(2, 9))).unwrap();
     assert_eq!(sent_to(&node.outcome(2, 0, first, Status::Miss)), Some(ORIGIN));
@@ -1052,7 +1064,7 @@
 #[test]
 fn a_lost_answer_is_detected_even_at_a_slow_server() {
     // An attempt was last checked at its latency target, before six times the server's response time had
-    // passed, and its request waited in vain until its deadline.
+    // passed, so a lost answer was not detected and its request waited until its deadline.
     let mut config = settings();
     config.classes[0].late_value_fraction = 0.3;
     let mut node = TestNode::new(config, 1);
@@ -1216,7 +1228,8 @@
 
 #[test]
 fn a_slow_read_is_hedged_at_the_next_server_and_the_slower_attempt_is_cancelled() {
-    // One of 500 balancers meets a faulty server once in 20 s: it cannot learn to avoid it, only hedge.
+    // Each of 500 balancers sends a faulty server one request in 20 s. That is too few to detect the fault,
+    // so only a hedge helps.
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 5);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     let second = sent_to(&node.advance(310 * MS)).expect("a hedge");
@@ -1318,12 +1331,17 @@
         assert!(count_sends(&actions) == 1 || is_shed(&actions, id), "sent or shed");
     }
     let after = node.advance(2 * SECOND);
-    assert!((1..=30).all(|id| is_shed(&node.actions, id)), "every request is answered: {}", after.len());
+    assert!(
+        (1..=30).all(|id| is_shed(&node.actions, id)),
+        "every request is shed in the end; {} actions in the last 2 s",
+        after.len()
+    );
 }
 
 #[test]
 fn accumulated_tokens_do_not_prolong_an_overload() {
-    // Full token buckets at 1,499 balancers held 15 s of traffic with the admission level at its minimum.
+    // The full token buckets of 1,499 balancers together held tokens for 15 s of traffic, with the admission
+    // level at its minimum.
     let mut config = Settings { balancer_count: 1000, may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
     let mut node = TestNode::just_started(config, 500);
@@ -1339,7 +1357,8 @@
 
 #[test]
 fn a_server_loaded_by_other_balancers_is_skipped_when_its_weight_follows_its_load() {
-    // When all servers were slow, queues held twelve requests per core; each balancer saw one of its own.
+    // When all servers were slow, their queues held twelve requests per core, but each balancer had only one
+    // request of its own there.
     let config = Settings { weights_follow_load: true, may_duplicate: false, ..settings() };
     let mut node = TestNode::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
@@ -1375,8 +1394,8 @@
 
 #[test]
 fn superseded_timers_do_not_set_further_timers() {
-    // Each overtaken timer set another one when it fired, without end, so that a balancer that had been busy
-    // for a while spent its time on timers.
+    // A timer is superseded when an earlier one is set. Each superseded timer set another one when it fired,
+    // without end, so that a balancer that had been busy for a while spent its time on timers.
     let mut node = TestNode::new(settings(), 5);
     // Calls blocked by the gate are deferred by a few ms each, so the earliest timer keeps changing.
     for id in 1..=400 {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Checks invariants of the decision module over random valid event sequences with a fixed seed: those that
-//! follow from events and actions alone.
+//! Checks the invariants of the decision module that can be judged from its events and actions alone, over
+//! random valid event sequences with a fixed seed.
 #![allow(missing_docs)]
 
 mod common;
@@ -14,6 +14,7 @@
 /// A step of a random run. An `index` is taken modulo the number of things it can refer to.
 #[derive(Debug, Clone)]
 enum Step {
+    /// Microseconds to wait.
     Wait(u64),
     SendRequest {
         class: usize,
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -5,6 +5,8 @@
 use std::io::{Read, Write};
 use std::process::{Child, Command, Output, Stdio};
 
+/// Settings with one class, a separate origin (machine type 1) and a key that the adapter has to ignore
+/// (`unknown`).
 const SETTINGS: &str = r#"{"balancers":1,"classes":[{"deadlineUs":1500000,"effect":"pure","goalTimeUs":750000,
  "gain":1.0,"name":"a"}],"discovery":"ask","unknown":{"x":1},"limits":{"maxAttempts":3},
  "specifics":{"mode":"aside","originKind":1},"periodUs":1000}"#;
@@ -44,7 +46,7 @@
         self.push_record(5, instance_id, &[(3, &7u64.to_le_bytes()), (11, &tail_field)])
     }
 
-    /// Adds a numbered list of ready servers (id, machine type) and an event that refers the instance to it.
+    /// Adds a numbered list of ready servers (id, machine type) and the event that the instance receives it.
     fn push_list(&mut self, instance_id: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
         let mut entries = Vec::new();
         for (id, machine_type) in servers {
@@ -111,7 +113,7 @@
     let mut child = spawn_adapter();
     // The adapter stops reading at the first error, so a broken pipe is expected.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("ended")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 fn u32_at(b: &[u8], at: usize) -> u32 {
@@ -141,6 +143,7 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
+    // Time, length of the body, number of records and number of the batch.
     let input = [0x5a, 0x5c, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0];
     let output = run_adapter(&input);
     assert!(output.status.success());
@@ -208,6 +211,8 @@
     let mut batch = Batch::default();
     batch.push_start(0, SETTINGS).push_list(0, 0, 1, &[(11, 0)]).push_request(0, 1, 9);
     let message = batch.append_to_tail(b"hello", 5);
+    // The codes stand for `ClientGone`, `Timer`, `Probed`, `AnswerBegan`, `DiscoveryFailed` (as a list of
+    // kind 2) and `PeerMessage`.
     batch.push_record(1, 0, &[(3, &99u64.to_le_bytes())]);
     batch.push_record(2, 0, &[(3, &5u32.to_le_bytes())]);
     batch.push_record(6, 0, &[(3, &200u16.to_le_bytes()), (9, &11u32.to_le_bytes()), (13, &[4])]);
