--- a/src/bin/pondproxy-sim/main.rs
+++ b/src/bin/pondproxy-sim/main.rs
@@ -11,10 +11,11 @@
 use codec::{BATCH_HEADER_BYTES, BatchHeader, Record, Reply};
 use pondproxy::{Action, Event, Micros, Policy, ServerEntry, settings};
 
-/// Number of slots for server lists; the simulator refers to a list by its slot.
-const LIST_SLOTS: usize = 16;
+/// Number of server lists that can be stored; the simulator refers to a list by its number, from 0.
+const MAX_LISTS: usize = 16;
 
-/// An instance of the decision module and the bounds for checking its requests.
+/// An instance of the decision module, and the numbers of classes and tenants in its settings, against which
+/// its requests are checked.
 struct Instance {
     policy: Policy,
     class_count: usize,
@@ -23,15 +24,15 @@
 
 /// The instances, the numbered server lists that they share, and the reply under construction.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerEntry>>; LIST_SLOTS],
+    lists: [Option<Vec<ServerEntry>>; MAX_LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
 
-impl Host {
-    /// Passes all records of a batch on, in their order.
+impl Adapter {
+    /// Handles all event records of a batch in their order.
     fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<(), String> {
         for index in 0..header.record_count {
             let record = codec::read_record(body, header.record_count, index)
@@ -77,10 +78,10 @@
         let instance = instance.ok_or_else(|| format!("event for unknown instance {instance_id}"))?;
         if let Event::Request(request) = &event {
             if request.class >= instance.class_count {
-                return Err(format!("request of class {} that the settings do not have", request.class));
+                return Err(format!("request with class {}, which is not in the settings", request.class));
             }
             if request.tenant >= instance.tenant_count.max(1) {
-                return Err(format!("request of tenant {} that the settings do not have", request.tenant));
+                return Err(format!("request with tenant {}, which is not in the settings", request.tenant));
             }
         }
         instance.policy.handle(now, event, &mut self.actions);
@@ -92,7 +93,7 @@
 }
 
 /// Fills `buffer` from the input. Returns `false` if the input ends before the first byte.
-fn read_or_end(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
+fn read_exact_or_eof(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
@@ -108,12 +109,13 @@
 
 /// Answers each batch of the input with one reply until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut header_bytes = [0u8; BATCH_HEADER_BYTES];
-    let (mut body, mut frame) = (Vec::new(), Vec::new());
-    while read_or_end(input, &mut header_bytes)? {
+    let (mut body, mut reply_frame) = (Vec::new(), Vec::new());
+    while read_exact_or_eof(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
-        // `take` keeps a false length from reserving memory that is never filled.
+        // `read_to_end` enlarges the buffer only as bytes arrive. A buffer of the length in the header would
+        // reserve memory that is never filled if that length is false.
         body.clear();
         let received = input.by_ref().take(header.body_length as u64).read_to_end(&mut body);
         let received = received.map_err(|e| format!("reading the input failed: {e}"))?;
@@ -123,9 +125,12 @@
                 header.batch_number
             ));
         }
-        host.handle_batch(header, &body)?;
-        host.reply.write_frame(header.batch_number, &mut frame);
-        output.write_all(&frame).and_then(|()| output.flush()).map_err(|e| format!("writing failed: {e}"))?;
+        adapter.handle_batch(header, &body)?;
+        adapter.reply.write_frame(header.batch_number, &mut reply_frame);
+        output
+            .write_all(&reply_frame)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing the reply failed: {e}"))?;
     }
     Ok(())
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -43,8 +43,13 @@
     for id in 2..=12 {
         chosen.push(sent_to(&node.request(read(id, 9))).unwrap());
     }
-    assert_eq!(&chosen[..4], [first; 4], "up to the minimum bound the key order holds");
-    // With a minimum bound of eight attempts per balancer, the busiest server had seven times the mean load.
+    assert_eq!(
+        &chosen[..4],
+        [first; 4],
+        "up to the minimum bound, reads go to the first server of the key's order"
+    );
+    // With a minimum bound of eight attempts for each balancer instead of for all balancers together, the
+    // busiest server had seven times the mean load.
     assert_ne!(chosen[4], first, "over the bound the next server is used");
 }
 
@@ -76,7 +81,7 @@
     assert_eq!(
         reads_sent_elsewhere(50.0, 40.0, MS),
         20,
-        "in progress for other balancers, none for this one"
+        "requests of other balancers are in progress there, and none of this one"
     );
     let some = reads_sent_elsewhere(50.0, 12.0, MS);
     assert!(
@@ -191,7 +196,7 @@
 
 #[test]
 fn a_server_that_fails_hits_is_ejected_although_it_still_answers_misses() {
-    let failures = |requests_per_s: f64| {
+    let failures_until_ejection = |requests_per_s: f64| {
         let (balancer_count, tenants) = (100, vec![Tenant { quota_per_s: 100.0 * requests_per_s }]);
         let mut node = TestNode::new(Settings { balancer_count, tenants, ..settings() }, 4);
         let first = sent_to(&node.request(read(100, 9))).unwrap();
@@ -207,9 +212,9 @@
         }
         failures
     };
-    assert_eq!(failures(50.0), 3, "misses in between are no recovery");
+    assert_eq!(failures_until_ejection(50.0), 3, "misses in between are no recovery");
     assert_eq!(
-        failures(2.0),
+        failures_until_ejection(2.0),
         1,
         "a balancer that calls it rarely would meet the same failure again and again"
     );
@@ -255,7 +260,7 @@
 
 #[test]
 fn a_server_without_answers_since_a_nearly_late_attempt_is_presumed_overloaded() {
-    let sent_back = |wait: Micros| {
+    let sent_to_same_server = |wait: Micros| {
         let tenants = vec![Tenant { quota_per_s: 500.0 }];
         let config = Settings { balancer_count: 100, weights_are_capacities: true, tenants, ..settings() };
         let mut servers: Vec<_> = (1..=4).map(|id| ServerEntry { weight: 4.0, ..server(id) }).collect();
@@ -279,8 +284,12 @@
             })
             .count()
     };
-    assert_eq!(sent_back(100 * MS), 4, "slow, but not yet nearly late");
-    assert_eq!(sent_back(125 * MS), 0, "no load report shows it, and none comes before its answers");
+    assert_eq!(sent_to_same_server(100 * MS), 4, "slow, but not yet nearly late");
+    assert_eq!(
+        sent_to_same_server(125 * MS),
+        0,
+        "overloaded, but no load report shows this: reports come only with answers"
+    );
 }
 
 #[test]
@@ -338,9 +347,9 @@
 }
 
 #[test]
-fn the_load_bound_is_wider_while_the_gate_has_no_room_for_the_fetch_after_a_skip() {
-    // In incident ia996fa the origin had room, and queues formed at a few servers; in incident iaa6bb1 the
-    // gate blocked the fetches.
+fn the_load_bound_is_higher_while_the_gate_blocks_the_fetches_that_skipping_a_server_causes() {
+    // One incident had queues at a few servers while the origin had room; in another, the gate blocked the
+    // fetches.
     let accepted_by_first = |gate_blocked: bool| {
         let mut node = TestNode::new(Settings { balancer_count: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| gate_blocked) {
@@ -372,7 +381,7 @@
 }
 
 #[test]
-fn a_closed_gate_defers_calls_with_jittered_backoff_and_requests_that_expire_deferred_are_shed() {
+fn blocked_calls_are_deferred_with_jittered_backoff_and_shed_if_they_expire_meanwhile() {
     let mut node = TestNode::new(Settings { tenants: vec![Tenant { quota_per_s: 1e3 }], ..settings() }, 3);
     let mut sent = 0;
     for id in 1..=20 {
@@ -384,7 +393,7 @@
     assert_eq!(count_sends(&node.advance(8 * MS)), 1, "an outcome frees a slot and one more call is sent");
     let later = node.advance(SECOND);
     let shed = (11..=20).filter(|id| is_shed(&later, *id)).count();
-    assert_eq!(shed, 9, "what was never sent is shed, not failed");
+    assert_eq!(shed, 9, "requests that were never sent are shed and do not fail");
 }
 
 #[test]
@@ -400,7 +409,7 @@
     }
     assert_eq!(
         sent, 18,
-        "18.75 of 100 per second in the window of 187 ms, a quarter of the longest latency target"
+        "100 per second allow 18.75 in the window of 187 ms, a quarter of the longest latency target"
     );
 }
 
@@ -413,7 +422,7 @@
         let first = sent_to(&node.request(read(*id, 100 + id))).unwrap();
         sent_to(&node.outcome(*id, 0, first, Status::Miss)) == Some(ORIGIN)
     });
-    assert_eq!(fetched.count(), 6, "within the fetches' share of the in-flight limit");
+    assert_eq!(fetched.count(), 6, "six fetches fit into their share of the in-flight limit");
 }
 
 #[test]
@@ -535,7 +544,7 @@
 }
 
 #[test]
-fn malformed_answers_and_resets_are_retried_without_a_budget_and_do_not_eject_healthy_servers() {
+fn malformed_answers_and_resets_are_retried_outside_the_retry_budget_and_eject_no_healthy_server() {
     for status in [Status::Malformed, Status::Reset] {
         let mut node = TestNode::new(settings(), 4);
         for id in 1..=40 {
@@ -545,7 +554,7 @@
             let third = sent_to(&node.outcome(id, 1, second, status)).expect("retried again");
             assert_ne!(first, third, "the second retry goes to the next server");
             node.outcome(id, 2, third, Status::Success);
-            // Other requests for its keys are answered well.
+            // The server answers other requests for the key successfully.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
                 assert_eq!(server, first, "neither ejected nor presumed cold");
@@ -588,7 +597,7 @@
 }
 
 #[test]
-fn a_deduplicated_write_is_retried_only_while_a_connect_fits_into_its_window() {
+fn a_deduplicated_write_is_retried_only_while_a_connect_fits_into_the_deduplication_window() {
     for (elapsed_ms, connect_timeout_ms, retries) in [(100, 20, 1), (100, 90, 1), (100, 110, 0), (180, 20, 0)]
     {
         let mut node = TestNode::new(Settings { connect_timeout: connect_timeout_ms * MS, ..settings() }, 1);
@@ -698,20 +707,24 @@
 #[test]
 fn a_silent_server_is_ejected_and_readmitted_when_it_answers_a_trial() {
     let mut node = TestNode::new(Settings { may_duplicate: false, ..settings() }, 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let silent_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 2..=3 {
         node.request(read(id, 9));
     }
     node.advance(1600 * MS);
     for id in 1..=3 {
-        node.outcome(id, 0, victim, Status::TimedOut);
+        node.outcome(id, 0, silent_server, Status::TimedOut);
     }
-    assert_ne!(sent_to(&node.request(read(10, 9))), Some(victim), "ejected");
+    assert_ne!(sent_to(&node.request(read(10, 9))), Some(silent_server), "ejected");
     node.advance(10 * SECOND);
-    assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial attempt");
-    assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while the trial is in flight");
-    node.outcome(11, 0, victim, Status::Success);
-    assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "readmitted");
+    assert_eq!(sent_to(&node.request(read(11, 9))), Some(silent_server), "one trial attempt");
+    assert_ne!(
+        sent_to(&node.request(read(12, 9))),
+        Some(silent_server),
+        "no more while the trial is in flight"
+    );
+    node.outcome(11, 0, silent_server, Status::Success);
+    assert_eq!(sent_to(&node.request(read(13, 9))), Some(silent_server), "readmitted");
 }
 
 #[test]
@@ -734,26 +747,32 @@
             attempt += 1;
         }
     }
-    assert!(sent_to(&node.request(read(100, 3))).is_some(), "attempts continue, since the cause is shared");
+    assert!(
+        sent_to(&node.request(read(100, 3))).is_some(),
+        "attempts continue: if all servers fail, no other server is better"
+    );
 }
 
 #[test]
 fn a_server_that_refused_connections_is_presumed_cold_when_it_answers_again() {
     // After a crash the server list shows the new process only seconds after that process accepts requests.
     let mut node = TestNode::new(settings(), 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let restarted_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=3 {
-        node.outcome(id, 0, victim, Status::ConnectFailed);
+        node.outcome(id, 0, restarted_server, Status::ConnectFailed);
         node.request(read(id + 1, 9));
     }
     node.advance(10 * SECOND);
-    let mut sent_to_victim = 0;
+    let mut sent_to_restarted_server = 0;
     for id in 10..200 {
         let to = sent_to(&node.request(read(id, id))).unwrap();
-        sent_to_victim += usize::from(to == victim);
+        sent_to_restarted_server += usize::from(to == restarted_server);
         node.outcome(id, 0, to, Status::Success);
     }
-    assert!((1..30).contains(&sent_to_victim), "few while presumed cold: {sent_to_victim} of about 48");
+    assert!(
+        (1..30).contains(&sent_to_restarted_server),
+        "few while presumed cold: {sent_to_restarted_server} of about 48"
+    );
 }
 
 #[test]
@@ -772,9 +791,9 @@
 }
 
 #[test]
-fn a_full_server_does_not_spread_its_keys_along_their_order() {
-    // Full servers passed their keys on to servers that did not have them: the caches lost their contents,
-    // and fetches were two fifths of all sends.
+fn requests_for_a_key_whose_first_servers_are_full_are_shed_and_not_spread_over_the_fleet() {
+    // Requests that full servers could not take were sent to servers that did not have the values: the caches
+    // lost their contents, and fetches were two fifths of all sends.
     let mut node = TestNode::just_started(settings(), 12);
     let mut servers_seen = std::collections::BTreeSet::new();
     for id in 1..=60 {
@@ -788,10 +807,10 @@
 fn a_server_that_returns_errors_quickly_is_ejected() {
     // Quick errors made a server look idle, so that it attracted ever more requests.
     let mut node = TestNode::new(settings(), 4);
-    let victim = sent_to(&node.request(read(1, 9))).unwrap();
+    let failing_server = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=8 {
         let status = if id % 4 == 0 { Status::Success } else { Status::Error };
-        node.outcome(id, 0, victim, status);
+        node.outcome(id, 0, failing_server, status);
         node.request(read(id + 1, 9));
     }
     assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("set aside"))));
@@ -871,7 +890,8 @@
             node.outcome(id, 0, to, Status::Success);
         }
     }
-    // The bound was also missed while one attempt was counted twice, when slow and when nearly late.
+    // This assertion also failed while one attempt counted as two overload signals, when it became slow and
+    // when it was nearly late.
     assert!((30..80).contains(&sent_of_last_200), "{sent_of_last_200} of the last 200 sent");
 }
 
@@ -898,7 +918,8 @@
 
 #[test]
 fn the_policy_sends_no_peer_messages_and_tolerates_any_it_receives() {
-    // Messages from each of 515 balancers to all others made 12,360 broadcasts in 18 s, and the run failed.
+    // When each of 515 balancers sent messages to all others, these were 12,360 broadcasts in 18 s, and the
+    // test run failed.
     let mut config = settings();
     (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
@@ -933,7 +954,8 @@
 
 #[test]
 fn one_of_many_balancers_admits_a_tenant_within_its_quota_and_limits_one_at_three_times_its_quota() {
-    // At 515 balancers, a rate extrapolated from one request per second shed tenants within their quotas.
+    // With 515 balancers, tenants within their quotas were shed because their rates had been extrapolated
+    // from one request per second.
     let config = Settings {
         balancer_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
@@ -944,7 +966,8 @@
     let (mut sent, mut offered) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         node.advance(250 * MS);
-        let tenant = usize::from(id % 6 == 0); // 3.3 per second and 0.67 per second; quota share 1 each.
+        // Tenant 0 sends 3.3 requests per second, tenant 1 sends 0.67; the quota share of each is 1.
+        let tenant = usize::from(id % 6 == 0);
         let actions = node.request(Request { tenant, ..read(id, id) });
         (offered[tenant], sent[tenant]) = (offered[tenant] + 1, sent[tenant] + count_sends(&actions));
         if let Some(to) = sent_to(&actions) {
@@ -967,7 +990,7 @@
         let mut node = TestNode::just_started(config, 70);
         let mut shed = 0;
         for id in 1..=200u64 {
-            node.advance(125 * MS); // Eight per second, where the equal share is two.
+            node.advance(125 * MS); // Eight requests per second, where the equal share is two.
             let actions = node.request(read(id, id));
             shed += usize::from(id > 100 && count_sends(&actions) == 0);
             let Some(server) = sent_to(&actions) else { continue };
@@ -1003,8 +1026,8 @@
     node.request(read(1, 9));
     let at_target = node.advance(760 * MS);
     assert!(is_shed(&at_target, 1) && at_target.contains(&Action::Cancel { request: 1, attempt: 0 }));
-    // A fetch cancelled at the latency target was never stored, and the origin's work was wasted: the result
-    // of the bench day rough-2 fell by a quarter.
+    // While fetches were cancelled at the latency target, their values were never stored and the origin's
+    // work was wasted: the result of one benchmark run fell by a quarter.
     let mut node = TestNode::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     let first = sent_to(&node.request(read(2, 9))).unwrap();
     assert_eq!(sent_to(&node.outcome(2, 0, first, Status::Miss)), Some(ORIGIN));
@@ -1014,19 +1037,19 @@
 }
 
 #[test]
-fn an_overdue_answer_overtaken_by_later_ones_is_presumed_lost_and_its_call_is_retried() {
+fn an_overdue_answer_overtaken_by_later_answers_is_presumed_lost_and_its_request_is_retried() {
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 1);
     // The cache server and the origin answer in 20 ms.
-    let answer_one = |node: &mut TestNode, id: RequestId, write: bool| {
+    let send_and_answer = |node: &mut TestNode, id: RequestId, write: bool| {
         let request = if write { self::write(id, 1) } else { read(id, id) };
         let server = sent_to(&node.request(request)).unwrap();
         node.advance(20 * MS);
         node.outcome(id, 0, server, Status::Success);
     };
-    (1..=20).for_each(|id| answer_one(&mut node, id, id % 2 == 0));
+    (1..=20).for_each(|id| send_and_answer(&mut node, id, id % 2 == 0));
     node.request(read(100, 100));
     node.request(write(101, 1));
-    (21..=24).for_each(|id| answer_one(&mut node, id, id % 2 == 0));
+    (21..=24).for_each(|id| send_and_answer(&mut node, id, id % 2 == 0));
     let actions = node.advance(300 * MS);
     let sends_of =
         |id| actions.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == id)).count();
@@ -1041,18 +1064,18 @@
 #[test]
 fn a_lost_answer_is_detected_even_at_a_slow_server() {
     // An attempt was last checked at its latency target, before six times the server's response time had
-    // passed, and its request waited in vain until its deadline.
+    // passed, so a lost answer was not detected and its request waited until its deadline.
     let mut config = settings();
     config.classes[0].late_value_fraction = 0.3;
     let mut node = TestNode::new(config, 1);
-    let answer_one = |node: &mut TestNode, id: RequestId| {
+    let send_and_answer = |node: &mut TestNode, id: RequestId| {
         node.request(read(id, id));
         node.advance(200 * MS);
         node.outcome(id, 0, 1, Status::Success);
     };
-    (1..=20).for_each(|id| answer_one(&mut node, id));
+    (1..=20).for_each(|id| send_and_answer(&mut node, id));
     node.request(read(100, 100));
-    (21..=22).for_each(|id| answer_one(&mut node, id));
+    (21..=22).for_each(|id| send_and_answer(&mut node, id));
     let actions = node.advance(1_090 * MS);
     let is_send = |a: &Action| matches!(a, Action::Send { request: 100, .. });
     assert_eq!(actions.iter().filter(|a| is_send(a)).count(), 1, "{actions:?}");
@@ -1205,7 +1228,8 @@
 
 #[test]
 fn a_slow_read_is_hedged_at_the_next_server_and_the_slower_attempt_is_cancelled() {
-    // One of 500 balancers meets a faulty server once in 20 s: it cannot learn to avoid it, only hedge.
+    // Each of 500 balancers sends a faulty server one request in 20 s. That is too few to detect the fault,
+    // so only a hedge helps.
     let mut node = TestNode::new(Settings { may_cancel: true, ..settings() }, 5);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     let second = sent_to(&node.advance(310 * MS)).expect("a hedge");
@@ -1287,7 +1311,7 @@
 }
 
 #[test]
-fn non_finite_settings_and_weights_are_tolerated() {
+fn non_finite_numbers_and_negative_weights_are_tolerated() {
     let config = Settings {
         tenants: vec![Tenant { quota_per_s: f64::NAN }, Tenant { quota_per_s: f64::INFINITY }],
         weights_are_capacities: true,
@@ -1307,12 +1331,17 @@
         assert!(count_sends(&actions) == 1 || is_shed(&actions, id), "sent or shed");
     }
     let after = node.advance(2 * SECOND);
-    assert!((1..=30).all(|id| is_shed(&node.actions, id)), "every request is answered: {}", after.len());
+    assert!(
+        (1..=30).all(|id| is_shed(&node.actions, id)),
+        "every request is shed in the end; {} actions in the last 2 s",
+        after.len()
+    );
 }
 
 #[test]
 fn accumulated_tokens_do_not_prolong_an_overload() {
-    // Full token buckets at 1,499 balancers held 15 s of traffic with the admission level at its minimum.
+    // The full token buckets of 1,499 balancers together held tokens for 15 s of traffic, with the admission
+    // level at its minimum.
     let mut config = Settings { balancer_count: 1000, may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
     let mut node = TestNode::just_started(config, 500);
@@ -1327,8 +1356,9 @@
 }
 
 #[test]
-fn a_server_filled_by_other_balancers_is_skipped_because_of_its_live_weight() {
-    // When all servers were slow, queues held twelve requests per core; each balancer saw one of its own.
+fn a_server_loaded_by_other_balancers_is_skipped_when_its_weight_follows_its_load() {
+    // When all servers were slow, their queues held twelve requests per core, but each balancer had only one
+    // request of its own there.
     let config = Settings { weights_follow_load: true, may_duplicate: false, ..settings() };
     let mut node = TestNode::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
@@ -1363,9 +1393,9 @@
 }
 
 #[test]
-fn overtaken_timers_do_not_set_further_timers() {
-    // Each overtaken timer set another one when it fired, without end, so that a balancer that had been busy
-    // for a while spent its time on timers.
+fn superseded_timers_do_not_set_further_timers() {
+    // A timer is superseded when an earlier one is set. Each superseded timer set another one when it fired,
+    // without end, so that a balancer that had been busy for a while spent its time on timers.
     let mut node = TestNode::new(settings(), 5);
     // Calls blocked by the gate are deferred by a few ms each, so the earliest timer keeps changing.
     for id in 1..=400 {
