--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -31,9 +31,11 @@
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
-    longest: usize,
+    max_value_bytes: usize,
 ) -> Result<Option<ServerReply>, MalformedReply> {
-    let Some(value) = resp::take_value(buffer, longest).map_err(|_| MalformedReply)? else { return Ok(None) };
+    let Some(value) = resp::take_value(buffer, max_value_bytes).map_err(|_| MalformedReply)? else {
+        return Ok(None);
+    };
     let reply = |status| ServerReply {
         status,
         lookup: CacheLookup::NotReported,
@@ -43,7 +45,7 @@
     };
     Ok(Some(match value {
         Value::Array(items) => {
-            let Ok([Value::Bulk(value), Value::Bulk(how), Value::Bulk(report)]) =
+            let Ok([Value::Bulk(value), Value::Bulk(lookup_word), Value::Bulk(report)]) =
                 <[Value; 3]>::try_from(items)
             else {
                 return Err(MalformedReply);
@@ -52,7 +54,8 @@
             let text = |text: &Option<Bytes>| {
                 text.as_ref().and_then(|t| std::str::from_utf8(t).ok()).unwrap_or("").to_owned()
             };
-            let (lookup, load) = (parse_lookup(&text(&how)), parse_load_report(&text(&report), load_names));
+            let (lookup, load) =
+                (parse_lookup(&text(&lookup_word)), parse_load_report(&text(&report), load_names));
             let status = if value.is_some() { Status::Success } else { Status::Miss };
             ServerReply { lookup, load, value, ..reply(status) }
         }
@@ -64,8 +67,8 @@
                 Some("ERR") => Status::Error,
                 _ => return Err(MalformedReply),
             };
-            let last = line.rsplit(' ').next().unwrap_or("");
-            ServerReply { load: parse_load_report(last, load_names), ..reply(status) }
+            let last_word = line.rsplit(' ').next().unwrap_or("");
+            ServerReply { load: parse_load_report(last_word, load_names), ..reply(status) }
         }
         // Nothing of the protocol: what this connection brings next can't be matched to anything.
         _ => return Err(MalformedReply),
@@ -83,9 +86,9 @@
 }
 
 /// A load report in a server's words: names and values, put in the order that the settings name them.
-pub fn parse_load_report(text: &str, names: &[String]) -> LoadReport {
+pub fn parse_load_report(text: &str, field_names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
-    for (slot, name) in names.iter().take(load.values.len()).enumerate() {
+    for (slot, name) in field_names.iter().take(load.values.len()).enumerate() {
         let pair = text.split(',').filter_map(|pair| pair.split_once('='));
         let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
         // Against reports that parse and tell nothing: not a number, endless or negative.
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -26,29 +26,29 @@
 const PIPELINE: (usize, usize, usize) = (16, 64, 16);
 /// A connection that has brought no whole command for so long after it was taken is closed. All three of
 /// these limits are points in time, which no dribbled byte moves.
-const FIRST: Duration = Duration::from_millis(2_200);
+const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// A command must be whole so long after its first byte.
-const WHOLE: Duration = Duration::from_secs(2);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// An answer must be written so long after its turn has come.
-const WRITTEN: Duration = Duration::from_secs(4);
+const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A connection on which nothing is open goes after this long, also where nobody wants its place.
-const IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// After an error that ends a connection, its client's input is read on for so long, and so much of it.
 const LINGER: (Duration, usize) = (Duration::from_millis(200), 256 * 1024);
 /// A long command waits for memory for so long, where others of its connection are open: behind it the client's
 /// end can't be seen.
-const LONG: Duration = Duration::from_millis(20);
+const LONG_COMMAND_MEMORY_WAIT: Duration = Duration::from_millis(20);
 /// Between two pieces of input that is not kept. Against floods: what they cost others must be little.
-const PAUSE: Duration = Duration::from_millis(1);
+const DISCARD_PAUSE: Duration = Duration::from_millis(1);
 /// The pause grows by so many times what the loop is late by, where this is more than the first figure, which
 /// is how exact a timer is; up to the last. So many floods share what one may take.
 const BUSY: (Duration, u32, Duration) = (Duration::from_millis(2), 4, Duration::from_millis(20));
 /// Refused, and never sent on.
-const REFUSAL: &str = "-BUSY\r\n";
+const BUSY_REPLY: &str = "-BUSY\r\n";
 /// Refusals that are written at once.
-const REFUSALS: u64 = 512;
+const MAX_BUSY_REPLIES_PER_WRITE: u64 = 512;
 /// The longest key, id and list of facts.
-const MAX_WORD: usize = 512;
+const MAX_WORD_BYTES: usize = 512;
 /// The longest wait that a client may state, in milliseconds, unless its class allows for a longer one.
 const MAX_WAIT_MS: f64 = 60_000.0;
 
@@ -70,16 +70,16 @@
 }
 
 /// An id while its request is open. Against a client that names another's: the second is not taken.
-struct Id(Bytes, Arc<Mutex<HashSet<Bytes>>>);
+struct OpenRequestId(Bytes, Arc<Mutex<HashSet<Bytes>>>);
 
-impl Id {
-    fn claim(id: &Bytes, ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<Id> {
-        let new = ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        new.then(|| Id(id.clone(), ids.clone()))
+impl OpenRequestId {
+    fn claim(id: &Bytes, ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenRequestId> {
+        let is_new = ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_new.then(|| OpenRequestId(id.clone(), ids.clone()))
     }
 }
 
-impl Drop for Id {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.1.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.0);
     }
@@ -166,7 +166,7 @@
                         None => context.connection_slots.wait_for_free_slot().await,
                     }
                 };
-                tokio::spawn(serve(stream, context.clone(), client_slot));
+                tokio::spawn(serve_client(stream, context.clone(), client_slot));
             }
             // Out of descriptors, or the client has left: neither ends the node.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
@@ -177,14 +177,14 @@
 
 /// Why a connection of a client ends.
 #[derive(Debug, PartialEq)]
-enum Ended {
+enum SessionEnd {
     /// The client has closed it, or takes nothing.
-    Gone,
+    Disconnected,
     /// The node closes it: between requests, or after input that lost its framing.
     Closed,
 }
 
-async fn serve(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
+async fn serve_client(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
     let _ = stream.set_nodelay(true);
     let (reply_sender, reply_receiver) = mpsc::channel(PIPELINE.1 + 1);
     let now = Instant::now();
@@ -194,28 +194,28 @@
         reply_sender,
         reply_receiver,
         input: CommandBuffer::new(context.memory.clone()),
-        long_by: None,
-        next_piece: now,
-        output: None,
+        memory_wait_deadline: None,
+        next_discard_at: now,
+        pending_write: None,
         pending_replies: VecDeque::new(),
-        first: 0,
-        broken: false,
-        looked: false,
-        longest: 0,
-        whole_by: Some(now + FIRST),
+        first_reply_index: 0,
+        input_abandoned: false,
+        input_rechecked: false,
+        longest_reply_bytes: 0,
+        command_deadline: Some(now + FIRST_COMMAND_TIMEOUT),
         idle_since: now,
-        rested_at: None,
+        evictable_at: None,
         context,
     };
-    let ended = session.run().await;
-    let Session { mut socket, pending_replies, broken, context, client_slot, .. } = session;
+    let session_end = session.run().await;
+    let Session { mut socket, pending_replies, input_abandoned, context, client_slot, .. } = session;
     client_slot.set_closing();
-    if ended == Ended::Closed && broken {
+    if session_end == SessionEnd::Closed && input_abandoned {
         socket.lingering_close(LINGER).await;
     }
     // From here on nothing is sent on for it, also while the news of its end waits behind others.
     drop(socket);
-    if pending_replies.iter().any(PendingReply::open) {
+    if pending_replies.iter().any(PendingReply::is_open) {
         let _ = context.event_sender.send(NodeEvent::ClientDisconnected(client_slot.id())).await;
     }
 }
@@ -225,23 +225,23 @@
     /// It is owed. Counts the request among those that are open, and its id.
     Open {
         #[expect(dead_code, reason = "held for its drop")]
-        counted: (OwnedSemaphorePermit, Id),
+        guards: (OwnedSemaphorePermit, OpenRequestId),
     },
     Ready(Bytes, Option<MemoryReservation>),
     /// So many commands that were passed over.
-    Refusals(u64),
+    BusyReplies(u64),
 }
 
 impl PendingReply {
-    fn open(&self) -> bool {
+    fn is_open(&self) -> bool {
         matches!(self, PendingReply::Open { .. })
     }
 }
 
 /// An answer that is being written.
-struct Output {
+struct PendingWrite {
     bytes: Bytes,
-    by: Instant,
+    deadline: Instant,
     _reservation: Option<MemoryReservation>,
 }
 
@@ -252,270 +252,303 @@
     reply_receiver: mpsc::Receiver<ClientReply>,
     input: CommandBuffer,
     /// Until when a long command waits for memory.
-    long_by: Option<Instant>,
+    memory_wait_deadline: Option<Instant>,
     /// When the next piece of what is not kept is read.
-    next_piece: Instant,
-    output: Option<Output>,
+    next_discard_at: Instant,
+    pending_write: Option<PendingWrite>,
     /// Answers in the order of their commands.
     pending_replies: VecDeque<PendingReply>,
     /// Index of the first pending reply.
-    first: u64,
+    first_reply_index: u64,
     /// No more is taken: the framing of the input is lost, or a time limit has passed.
-    broken: bool,
+    input_abandoned: bool,
     /// Since it was asked for its place, it was looked whether there is more to read.
-    looked: bool,
+    input_rechecked: bool,
     /// Its longest answer so far.
-    longest: usize,
+    longest_reply_bytes: usize,
     /// When the command that is awaited must be whole; `None` where none has begun.
-    whole_by: Option<Instant>,
+    command_deadline: Option<Instant>,
     /// Since when nothing is owed.
     idle_since: Instant,
     /// When it will have rested; `None` once it has.
-    rested_at: Option<Instant>,
+    evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
 
 impl Session {
-    async fn run(&mut self) -> Ended {
+    async fn run(&mut self) -> SessionEnd {
         let mut phase = self.context.phase.clone();
         let memory = self.context.memory.clone();
         // Until the machine has been asked: a client may have left while it waited to be accepted.
         tokio::task::yield_now().await;
         loop {
             self.take_commands().await;
-            if self.output.is_none()
-                && let Some((bytes, _reservation)) = self.next_answer()
+            if self.pending_write.is_none()
+                && let Some((bytes, _reservation)) = self.next_reply()
             {
-                self.output = Some(Output { bytes, by: Instant::now() + WRITTEN, _reservation });
+                self.pending_write = Some(PendingWrite {
+                    bytes,
+                    deadline: Instant::now() + REPLY_WRITE_TIMEOUT,
+                    _reservation,
+                });
             }
-            if let Some(output) = &mut self.output {
-                match self.socket.try_write(&output.bytes) {
-                    Ok(count) if count == output.bytes.len() => {
-                        self.output = None;
+            if let Some(pending_write) = &mut self.pending_write {
+                match self.socket.try_write(&pending_write.bytes) {
+                    Ok(count) if count == pending_write.bytes.len() => {
+                        self.pending_write = None;
                         self.idle_since = Instant::now();
                         if self.pending_replies.is_empty() {
                             self.client_slot.set_idle();
-                            self.rested_at = Some(Instant::now() + MIN_IDLE_TIME);
+                            self.evictable_at = Some(Instant::now() + MIN_IDLE_TIME);
                         }
                         continue;
                     }
                     Ok(count) => {
-                        let _ = output.bytes.split_to(count);
+                        let _ = pending_write.bytes.split_to(count);
                         continue;
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    Err(_) => return Ended::Gone,
+                    Err(_) => return SessionEnd::Disconnected,
                 }
             }
-            let owes = !self.pending_replies.is_empty() || self.output.is_some();
-            if !owes && self.broken {
-                return Ended::Closed;
+            let owes_reply = !self.pending_replies.is_empty() || self.pending_write.is_some();
+            if !owes_reply && self.input_abandoned {
+                return SessionEnd::Closed;
             }
             let draining = *phase.borrow() == Phase::Draining;
-            let room = !self.broken && self.pending_replies.len() < self.pipeline() && self.output.is_none();
-            if !room && self.whole_by.is_some() {
+            let accepts_commands = !self.input_abandoned
+                && self.pending_replies.len() < self.pipeline_limit()
+                && self.pending_write.is_none();
+            if !accepts_commands && self.command_deadline.is_some() {
                 // While others wait ahead of it the rest of a command is not waited for.
-                self.whole_by = Some(Instant::now() + WHOLE);
+                self.command_deadline = Some(Instant::now() + COMMAND_TIMEOUT);
             }
             // Against commands that together are longer than the memory: the long ones wait their turn, with
             // the client's own buffers, and those that wait too long are turned away.
-            let long = room && !self.input.is_skipping() && self.input.is_full();
+            let lacks_memory = accepts_commands && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
-            let open = self.pending_replies.iter().any(PendingReply::open);
-            if self.socket.read_closed() && (open || !(room && !long && unread)) {
+            let has_open_request = self.pending_replies.iter().any(PendingReply::is_open);
+            if self.socket.read_closed()
+                && (has_open_request || !(accepts_commands && !lacks_memory && unread))
+            {
                 // Against requests that are sent on for a client that has left: it may leave while nothing is
                 // taken, and for as long as its requests wait nothing may be.
-                return Ended::Gone;
+                return SessionEnd::Disconnected;
             }
             // A client's end lies behind all that it has sent: what can't be kept is passed over.
-            if unread && !room && !self.broken && !self.input.is_skipping() && !self.input.try_grow() {
+            if unread
+                && !accepts_commands
+                && !self.input_abandoned
+                && !self.input.is_skipping()
+                && !self.input.try_grow()
+            {
                 self.input.start_skipping();
             }
-            let skips = self.broken || self.input.is_skipping();
-            self.long_by = (long && open).then(|| self.long_by.unwrap_or_else(|| Instant::now() + LONG));
-            let (long_by, next_piece) = (self.long_by, self.next_piece.max(Instant::now()));
-            let between = !owes && self.input.is_empty() && !unread;
-            let asked = self.client_slot.eviction_requested();
-            self.looked &= asked.is_some();
+            let discards_input = self.input_abandoned || self.input.is_skipping();
+            self.memory_wait_deadline = (lacks_memory && has_open_request).then(|| {
+                self.memory_wait_deadline.unwrap_or_else(|| Instant::now() + LONG_COMMAND_MEMORY_WAIT)
+            });
+            let (memory_wait_deadline, next_discard_at) =
+                (self.memory_wait_deadline, self.next_discard_at.max(Instant::now()));
+            let between_requests = !owes_reply && self.input.is_empty() && !unread;
+            let requested_eviction = self.client_slot.eviction_requested();
+            self.input_rechecked &= requested_eviction.is_some();
             // One that goes on to send what is no request is not waited for.
-            let chatters =
-                |leave: &Eviction| *leave == Eviction::Unclassified && self.first > PIPELINE.1 as u64;
-            if let Some(leave) = asked.filter(|leave| long || !unread || chatters(leave)) {
-                match leave {
+            let sends_no_requests = |eviction: &Eviction| {
+                *eviction == Eviction::Unclassified && self.first_reply_index > PIPELINE.1 as u64
+            };
+            if let Some(eviction) =
+                requested_eviction.filter(|eviction| lacks_memory || !unread || sends_no_requests(eviction))
+            {
+                match eviction {
                     // Against a request that the machine has and the runtime has not told of yet.
-                    _ if room && !long && !std::mem::replace(&mut self.looked, true) => {
+                    _ if accepts_commands
+                        && !lacks_memory
+                        && !std::mem::replace(&mut self.input_rechecked, true) =>
+                    {
                         self.socket.assume_unread()
                     }
-                    Eviction::IdleClient | Eviction::Unclassified if between && self.first > 0 => {
-                        return Ended::Closed;
+                    Eviction::IdleClient | Eviction::Unclassified
+                        if between_requests && self.first_reply_index > 0 =>
+                    {
+                        return SessionEnd::Closed;
                     }
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
-                    _ if owes => return Ended::Gone,
+                    _ if owes_reply => return SessionEnd::Disconnected,
                     // Against a request that is lost because it crosses the close: what is under way finds its
                     // answer there. It is refused, as it is never read.
                     Eviction::Unclassified | Eviction::NewlyAccepted => {
-                        self.broken = true;
-                        self.answer_now(REFUSAL);
+                        self.input_abandoned = true;
+                        self.queue_reply(BUSY_REPLY);
                     }
                 }
                 continue;
             }
-            let by = self.output.as_ref().map(|output| output.by);
-            let whole_by = self.whole_by.filter(|_| room);
+            let write_deadline = self.pending_write.as_ref().map(|pending_write| pending_write.deadline);
+            let command_deadline = self.command_deadline.filter(|_| accepts_commands);
             tokio::select! {
                 biased;
-                answer = self.reply_receiver.recv() => {
-                    self.longest = answer.as_ref().map_or(0, |a| a.bytes.len()).max(self.longest);
-                    if let Some(ClientReply { reply_index, bytes, reservation }) = answer
-                        && let Some(place) =
-                            self.pending_replies.get_mut(reply_index.saturating_sub(self.first) as usize)
+                reply = self.reply_receiver.recv() => {
+                    self.longest_reply_bytes =
+                        reply.as_ref().map_or(0, |reply| reply.bytes.len()).max(self.longest_reply_bytes);
+                    if let Some(ClientReply { reply_index, bytes, reservation }) = reply
+                        && let Some(pending_reply) = self
+                            .pending_replies
+                            .get_mut(reply_index.saturating_sub(self.first_reply_index) as usize)
                     {
-                        *place = PendingReply::Ready(bytes, reservation);
+                        *pending_reply = PendingReply::Ready(bytes, reservation);
                     }
                 }
-                () = tokio::task::yield_now(), if unread && !skips && !long => {
+                () = tokio::task::yield_now(), if unread && !discards_input && !lacks_memory => {
                     let now = self.context.clock.now();
-                    if left(self.socket.read(|piece| self.input.add(piece, now))) {
-                        return Ended::Gone;
+                    if closed_by_client(self.socket.read(|chunk| self.input.add(chunk, now))) {
+                        return SessionEnd::Disconnected;
                     }
                 }
-                () = sleep_until(next_piece), if unread && skips => {
-                    let late = next_piece.elapsed().saturating_sub(BUSY.0);
-                    self.next_piece = Instant::now() + (PAUSE + BUSY.1 * late).min(BUSY.2);
-                    if left(
-                        self.socket.read_discarded(|piece| if !self.broken { self.input.add(piece, 0) })
-                    ) {
-                        return Ended::Gone;
+                () = sleep_until(next_discard_at), if unread && discards_input => {
+                    let lateness = next_discard_at.elapsed().saturating_sub(BUSY.0);
+                    self.next_discard_at = Instant::now() + (DISCARD_PAUSE + BUSY.1 * lateness).min(BUSY.2);
+                    if closed_by_client(self.socket.read_discarded(
+                        |chunk| if !self.input_abandoned { self.input.add(chunk, 0) }
+                    )) {
+                        return SessionEnd::Disconnected;
                     }
                 }
-                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if long =>
+                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if lacks_memory =>
                     self.input.add_reservation(reservation, 2 * resp::MAX_VALUE_BYTES),
-                () = until(long_by), if long_by.is_some() => self.input.start_skipping(),
-                news = self.socket.wait_ready(self.output.is_some()) => {
-                    if news.is_err() {
-                        return Ended::Gone;
+                () = sleep_until_deadline(memory_wait_deadline), if memory_wait_deadline.is_some() =>
+                    self.input.start_skipping(),
+                readiness = self.socket.wait_ready(self.pending_write.is_some()) => {
+                    if readiness.is_err() {
+                        return SessionEnd::Disconnected;
                     }
                 }
                 _ = phase.changed(), if !draining => {}
-                () = std::future::ready(()), if draining && between => return Ended::Closed,
+                () = std::future::ready(()), if draining && between_requests => return SessionEnd::Closed,
                 () = self.client_slot.wait_for_eviction_request() => {}
-                () = until(self.rested_at), if between && self.rested_at.is_some() => {
-                    self.rested_at = None;
+                () = sleep_until_deadline(self.evictable_at),
+                    if between_requests && self.evictable_at.is_some() =>
+                {
+                    self.evictable_at = None;
                     self.client_slot.evict_surplus_idle();
                 }
-                () = until(whole_by), if whole_by.is_some() => {
+                () = sleep_until_deadline(command_deadline), if command_deadline.is_some() => {
                     // Against clients that say nothing or leave a command half said: they hold a place that
                     // others want. What was whole before is still answered.
-                    self.broken = true;
-                    self.answer_now("-ERR no whole command in time\r\n");
+                    self.input_abandoned = true;
+                    self.queue_reply("-ERR no whole command in time\r\n");
                 }
-                () = until(by), if by.is_some() => return Ended::Gone,
-                () = sleep_until(self.idle_since + IDLE), if between && self.first > 0 =>
-                    return Ended::Closed,
+                () = sleep_until_deadline(write_deadline), if write_deadline.is_some() =>
+                    return SessionEnd::Disconnected,
+                () = sleep_until(self.idle_since + IDLE_TIMEOUT),
+                    if between_requests && self.first_reply_index > 0 =>
+                    return SessionEnd::Closed,
             }
         }
     }
 
     /// How many requests may be open at once. Against a client that takes no answers: it must not hold the
     /// memory that others need.
-    fn pipeline(&self) -> usize {
-        match self.longest {
+    fn pipeline_limit(&self) -> usize {
+        match self.longest_reply_bytes {
             0 => PIPELINE.0,
-            longest => (self.context.memory.total_bytes() / PIPELINE.2 / longest).clamp(1, PIPELINE.1),
+            longest_reply_bytes => {
+                (self.context.memory.total_bytes() / PIPELINE.2 / longest_reply_bytes).clamp(1, PIPELINE.1)
+            }
         }
     }
 
     /// Takes the commands that are whole. The limit on one that is not runs from its first byte.
     async fn take_commands(&mut self) {
-        while !self.broken
-            && self.pending_replies.len() < self.pipeline()
-            && self.output.is_none()
+        while !self.input_abandoned
+            && self.pending_replies.len() < self.pipeline_limit()
+            && self.pending_write.is_none()
             && let Some(next) = self.input.next()
         {
             match next {
                 BufferItem::Command(words, received_at) => {
-                    self.whole_by = None;
-                    self.command(words, received_at).await;
+                    self.command_deadline = None;
+                    self.handle_command(words, received_at).await;
                 }
                 // Forced by memory: there was no room for them, and they were never sent.
-                BufferItem::Skipped(more) => {
-                    self.whole_by = None;
+                BufferItem::Skipped(skipped) => {
+                    self.command_deadline = None;
                     match self.pending_replies.back_mut() {
-                        Some(PendingReply::Refusals(count)) => *count += more,
-                        _ => self.pending_replies.push_back(PendingReply::Refusals(more)),
+                        Some(PendingReply::BusyReplies(count)) => *count += skipped,
+                        _ => self.pending_replies.push_back(PendingReply::BusyReplies(skipped)),
                     }
                 }
-                BufferItem::Malformed(what) => {
-                    self.answer_now(format!("-ERR protocol error: {what}\r\n"));
-                    self.broken = true;
+                BufferItem::Malformed(error) => {
+                    self.queue_reply(format!("-ERR protocol error: {error}\r\n"));
+                    self.input_abandoned = true;
                 }
             }
         }
-        if self.broken {
+        if self.input_abandoned {
             self.input = CommandBuffer::new(self.context.memory.clone());
         } else if self.input.has_partial_command() {
-            self.whole_by.get_or_insert_with(|| Instant::now() + WHOLE);
+            self.command_deadline.get_or_insert_with(|| Instant::now() + COMMAND_TIMEOUT);
         }
     }
 
     /// The answer whose turn it is.
-    fn next_answer(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
-        let answer = match self.pending_replies.front_mut()? {
+    fn next_reply(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
+        let reply = match self.pending_replies.front_mut()? {
             PendingReply::Open { .. } => return None,
             PendingReply::Ready(bytes, reservation) => (take(bytes), reservation.take()),
-            PendingReply::Refusals(count) => {
-                let some = REFUSALS.min(*count);
-                *count -= some;
-                (REFUSAL.repeat(some as usize).into(), None)
+            PendingReply::BusyReplies(count) => {
+                let batch = MAX_BUSY_REPLIES_PER_WRITE.min(*count);
+                *count -= batch;
+                (BUSY_REPLY.repeat(batch as usize).into(), None)
             }
         };
-        if !matches!(self.pending_replies.front(), Some(PendingReply::Refusals(1..))) {
+        if !matches!(self.pending_replies.front(), Some(PendingReply::BusyReplies(1..))) {
             self.pending_replies.pop_front();
-            self.first += 1;
+            self.first_reply_index += 1;
         }
-        Some(answer)
+        Some(reply)
     }
 
-    fn answer_now(&mut self, answer: impl Into<Bytes>) {
-        self.pending_replies.push_back(PendingReply::Ready(answer.into(), None));
+    fn queue_reply(&mut self, reply: impl Into<Bytes>) {
+        self.pending_replies.push_back(PendingReply::Ready(reply.into(), None));
     }
 
-    async fn command(&mut self, words: Vec<Bytes>, received_at: Micros) {
+    async fn handle_command(&mut self, words: Vec<Bytes>, received_at: Micros) {
         let name = words.first().map(|name| name.to_ascii_uppercase()).unwrap_or_default();
         let command = match name.as_slice() {
             b"PING" => {
                 let starting = *self.context.phase.borrow() == Phase::Starting;
-                return self.answer_now(if starting {
+                return self.queue_reply(if starting {
                     "-LOADING no list of servers yet\r\n"
                 } else {
                     "+PONG\r\n"
                 });
             }
-            b"OBJ.GET" => parse(&words, false, &self.context.deployment),
-            b"OBJ.SET" => parse(&words, true, &self.context.deployment),
+            b"OBJ.GET" => parse_command(&words, false, &self.context.deployment),
+            b"OBJ.SET" => parse_command(&words, true, &self.context.deployment),
             _ => Err("unknown command"),
         };
         match command {
             // Forced by the input: the module can't be told of a request that names none of its classes.
-            Err(what) => self.answer_now(format!("-ERR {what}\r\n")),
+            Err(error) => self.queue_reply(format!("-ERR {error}\r\n")),
             Ok(command) => {
                 // Forced by a full table of sockets: refused, as it was never sent. The connection may stay until
                 // another wants its place, since a client that loses it comes again on a new one.
                 if !self.client_slot.begin_request() {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
                 // Against work for nobody: there is no one to answer.
                 if self.socket.read_closed() {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
                 // Forced by the end of the process: on a connection that always has a request open there is no
                 // moment to close it in, and what is taken now could be unanswered when the platform kills the
                 // node. Refused, as it was never sent; another node takes it.
                 if *self.context.phase.borrow() == Phase::Draining {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
-                let Some(id) = Id::claim(&command.id, &self.context.open_ids) else {
-                    return self.answer_now("-ERR a request with this id is open\r\n");
+                let Some(id) = OpenRequestId::claim(&command.id, &self.context.open_ids) else {
+                    return self.queue_reply("-ERR a request with this id is open\r\n");
                 };
                 // Forced by memory: a request that finds the table full is turned away, and was never sent.
                 let value = command.value.as_ref().map_or(0, Bytes::len);
@@ -525,13 +558,13 @@
                         self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value),
                     )
                 else {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 };
-                let reply_index = self.first + self.pending_replies.len() as u64;
-                self.pending_replies.push_back(PendingReply::Open { counted: (permit, id) });
+                let reply_index = self.first_reply_index + self.pending_replies.len() as u64;
+                self.pending_replies.push_back(PendingReply::Open { guards: (permit, id) });
                 let (client, liveness, reply_sender) =
                     (self.client_slot.id(), self.socket.liveness(), self.reply_sender.clone());
-                let asked = Box::new(ClientRequest {
+                let request = Box::new(ClientRequest {
                     command,
                     received_at,
                     client,
@@ -540,14 +573,14 @@
                     reply_sender,
                     reservation,
                 });
-                let _ = self.context.event_sender.send(NodeEvent::Request(asked)).await;
+                let _ = self.context.event_sender.send(NodeEvent::Request(request)).await;
             }
         }
     }
 }
 
 /// Whether a read shows that the client has left.
-fn left(read: io::Result<usize>) -> bool {
+fn closed_by_client(read: io::Result<usize>) -> bool {
     match read {
         Ok(count) => count == 0,
         Err(e) => e.kind() != io::ErrorKind::WouldBlock,
@@ -555,7 +588,7 @@
 }
 
 /// Waits until a point in time; for ever where there is none.
-async fn until(at: Option<Instant>) {
+async fn sleep_until_deadline(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
@@ -564,40 +597,41 @@
 
 /// Reads a command's words. Against requests that mean nothing, or one thing here and another at a server:
 /// each fact stands there once, and those that are known can be read.
-fn parse(words: &[Bytes], write: bool, deployment: &Deployment) -> Result<Command, &'static str> {
+fn parse_command(words: &[Bytes], write: bool, deployment: &Deployment) -> Result<Command, &'static str> {
     if words.len() != if write { 5 } else { 4 } {
         return Err("wrong number of arguments");
     }
     // What goes on to a server must not break its framing there.
-    let plain =
-        |word: &Bytes| !word.is_empty() && word.len() <= MAX_WORD && word.iter().all(u8::is_ascii_graphic);
-    if !words[1..4].iter().all(plain) {
+    let is_valid_word = |word: &Bytes| {
+        !word.is_empty() && word.len() <= MAX_WORD_BYTES && word.iter().all(u8::is_ascii_graphic)
+    };
+    if !words[1..4].iter().all(is_valid_word) {
         return Err("invalid key, id or facts");
     }
     let facts = String::from_utf8_lossy(&words[3]).into_owned();
-    let (mut class, mut tenant, mut wait, mut keyed) = (None, None, None, false);
+    let (mut class, mut tenant, mut wait_ms, mut has_key) = (None, None, None, false);
     let mut command = Command { write, key: words[1].clone(), id: words[2].clone(), ..Command::default() };
-    let mut seen: Vec<&str> = Vec::new();
+    let mut seen_names: Vec<&str> = Vec::new();
     for fact in facts.split(',') {
         let (name, value) = fact.split_once('=').ok_or("invalid facts")?;
-        if name.is_empty() || seen.contains(&name) {
+        if name.is_empty() || seen_names.contains(&name) {
             return Err("a fact without a name or given twice");
         }
-        seen.push(name);
-        let place = |names: &[String]| names.iter().position(|known| known == value);
+        seen_names.push(name);
+        let index_of = |names: &[String]| names.iter().position(|known| known == value);
         match name {
-            "c" => class = Some(place(&deployment.classes).ok_or("unknown class")?),
+            "c" => class = Some(index_of(&deployment.classes).ok_or("unknown class")?),
             "t" if !deployment.tenants.is_empty() => {
-                tenant = Some(place(&deployment.tenants).ok_or("unknown tenant")?)
+                tenant = Some(index_of(&deployment.tenants).ok_or("unknown tenant")?)
             }
-            "d" => wait = Some(number(value).ok_or("invalid d")?),
-            "k" => keyed = !value.is_empty(),
+            "d" => wait_ms = Some(parse_decimal(value).ok_or("invalid d")?),
+            "k" => has_key = !value.is_empty(),
             "r" => {
                 command.client_retry =
                     matches!(value, "0" | "1").then_some(value == "1").ok_or("invalid r")?
             }
-            "h" => command.expected_work = Some(number(value).ok_or("invalid h")? as Micros),
-            "size" => command.value_bytes = number(value).ok_or("invalid size")? as f32,
+            "h" => command.expected_work = Some(parse_decimal(value).ok_or("invalid h")? as Micros),
+            "size" => command.value_bytes = parse_decimal(value).ok_or("invalid size")? as f32,
             _ => {}
         }
     }
@@ -607,22 +641,22 @@
     }
     command.tenant = tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
-    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !keyed {
+    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !has_key {
         return Err("no k for a keyed write");
     }
-    let wait = wait.ok_or("no d")?;
-    if wait > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
+    let wait_ms = wait_ms.ok_or("no d")?;
+    if wait_ms > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
         return Err("invalid d");
     }
     // Nobody waits for longer than the class allows for, whatever is said.
-    command.time_left = ((wait * 1e3) as Micros).min(class.deadline);
+    command.time_left = ((wait_ms * 1e3) as Micros).min(class.deadline);
     command.value = words.get(4).cloned();
     command.facts = facts;
     Ok(command)
 }
 
 /// A plain decimal number: no sign, no exponent, no word such as `nan`.
-fn number(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    text.parse().ok().filter(|number: &f64| plain && text.len() <= 16 && number.is_finite())
+fn parse_decimal(text: &str) -> Option<f64> {
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|number: &f64| is_plain && text.len() <= 16 && number.is_finite())
 }
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -13,9 +13,9 @@
 use crate::resp::{self, CommandSkipper, ProtocolError};
 
 /// So much is kept of commands that wait for others, in bytes: the longest there is, or some hundred short ones.
-const KEPT: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
+const MAX_BUFFERED_BYTES: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
 /// Position of the end of a piece in the input, and when the piece was read.
-type Mark = (u64, Micros);
+type ChunkEnd = (u64, Micros);
 
 /// What is next in the input.
 #[derive(Debug, PartialEq)]
@@ -32,62 +32,62 @@
 pub struct CommandBuffer {
     memory: MemoryBudget,
     bytes: BytesMut,
-    marks: VecDeque<Mark>,
+    chunk_ends: VecDeque<ChunkEnd>,
     /// Position of the first byte that is kept.
-    start: u64,
+    start_position: u64,
     /// Memory, and for how many bytes.
     reservations: Vec<MemoryReservation>,
-    room: usize,
+    reserved_bytes: usize,
     /// Passes over what comes behind; then whole commands only are kept.
-    skip: Option<CommandSkipper>,
-    malformed: Option<ProtocolError>,
+    skipper: Option<CommandSkipper>,
+    protocol_error: Option<ProtocolError>,
 }
 
 impl CommandBuffer {
     /// The input of a client that has said nothing.
     pub fn new(memory: MemoryBudget) -> Self {
-        let (bytes, marks, reservations) = (BytesMut::new(), VecDeque::new(), Vec::new());
+        let (bytes, chunk_ends, reservations) = (BytesMut::new(), VecDeque::new(), Vec::new());
         CommandBuffer {
             memory,
             bytes,
-            marks,
-            start: 0,
+            chunk_ends,
+            start_position: 0,
             reservations,
-            room: READ_CHUNK_BYTES,
-            skip: None,
-            malformed: None,
+            reserved_bytes: READ_CHUNK_BYTES,
+            skipper: None,
+            protocol_error: None,
         }
     }
 
     /// Whether all that came was taken.
     pub fn is_empty(&self) -> bool {
-        self.bytes.is_empty() && self.skip.is_none()
+        self.bytes.is_empty() && self.skipper.is_none()
     }
 
     /// Whether something has begun that is not taken.
     pub fn has_partial_command(&self) -> bool {
-        !self.bytes.is_empty() || self.skip.as_ref().is_some_and(CommandSkipper::has_partial_command)
+        !self.bytes.is_empty() || self.skipper.as_ref().is_some_and(CommandSkipper::has_partial_command)
     }
 
     /// Whether what comes is passed over.
     pub fn is_skipping(&self) -> bool {
-        self.skip.is_some()
+        self.skipper.is_some()
     }
 
     /// Whether more can be kept only with more memory.
     pub fn is_full(&self) -> bool {
-        self.bytes.len() + self.marks.len() * size_of::<Mark>() >= self.room
+        self.bytes.len() + self.chunk_ends.len() * size_of::<ChunkEnd>() >= self.reserved_bytes
     }
 
     /// Keeps more with this memory.
     pub fn add_reservation(&mut self, reservation: MemoryReservation, bytes: usize) {
         self.reservations.push(reservation);
-        self.room += bytes;
+        self.reserved_bytes += bytes;
     }
 
     /// Finds room for commands that wait for others, if there is any.
     pub fn try_grow(&mut self) -> bool {
-        while self.is_full() && self.room < KEPT {
+        while self.is_full() && self.reserved_bytes < MAX_BUFFERED_BYTES {
             let Some(reservation) = self.memory.try_reserve_pipelined(READ_CHUNK_BYTES) else { return false };
             self.add_reservation(reservation, READ_CHUNK_BYTES);
         }
@@ -95,59 +95,59 @@
     }
 
     /// Adds a piece.
-    pub fn add(&mut self, piece: &[u8], now: Micros) {
-        if let Some(skip) = &mut self.skip {
+    pub fn add(&mut self, chunk: &[u8], now: Micros) {
+        if let Some(skipper) = &mut self.skipper {
             // Behind what is malformed nothing has a meaning.
-            if self.malformed.is_none() {
-                self.malformed = skip.skip(piece).err();
+            if self.protocol_error.is_none() {
+                self.protocol_error = skipper.skip(chunk).err();
             }
-        } else if !piece.is_empty() {
-            self.bytes.extend_from_slice(piece);
-            self.marks.push_back((self.start + self.bytes.len() as u64, now));
+        } else if !chunk.is_empty() {
+            self.bytes.extend_from_slice(chunk);
+            self.chunk_ends.push_back((self.start_position + self.bytes.len() as u64, now));
         }
     }
 
     /// Passes over all but the commands that are whole, until these are taken.
     pub fn start_skipping(&mut self) {
-        let mut skip = CommandSkipper::default();
+        let mut skipper = CommandSkipper::default();
         // What is malformed is found again in its turn.
-        let whole = skip.skip(&self.bytes).unwrap_or(self.bytes.len());
-        self.bytes.truncate(whole);
-        skip.skipped_commands = 0;
-        self.skip = Some(skip);
+        let complete_bytes = skipper.skip(&self.bytes).unwrap_or(self.bytes.len());
+        self.bytes.truncate(complete_bytes);
+        skipper.skipped_commands = 0;
+        self.skipper = Some(skipper);
     }
 
     /// Takes what is next, once it is whole.
     pub fn next(&mut self) -> Option<BufferItem> {
         if self.bytes.is_empty() {
             // The room that it took is given back.
-            (self.bytes, self.marks, self.reservations, self.room) =
+            (self.bytes, self.chunk_ends, self.reservations, self.reserved_bytes) =
                 (BytesMut::new(), VecDeque::new(), Vec::new(), READ_CHUNK_BYTES);
-            let skip = self.skip.as_mut()?;
-            match (take(&mut skip.skipped_commands), self.malformed) {
-                (0, Some(ProtocolError(what))) => return Some(BufferItem::Malformed(what)),
-                (0, None) if skip.has_partial_command() => {}
-                (0, None) => self.skip = None,
-                (whole, _) => return Some(BufferItem::Skipped(whole)),
+            let skipper = self.skipper.as_mut()?;
+            match (take(&mut skipper.skipped_commands), self.protocol_error) {
+                (0, Some(ProtocolError(message))) => return Some(BufferItem::Malformed(message)),
+                (0, None) if skipper.has_partial_command() => {}
+                (0, None) => self.skipper = None,
+                (skipped, _) => return Some(BufferItem::Skipped(skipped)),
             }
             return None;
         }
-        let before = self.bytes.len();
+        let length_before = self.bytes.len();
         match resp::take_command(&mut self.bytes) {
             Ok(Some(words)) => {
-                self.start += (before - self.bytes.len()) as u64;
-                while self.marks.front().is_some_and(|(end, _)| *end < self.start) {
-                    self.marks.pop_front();
+                self.start_position += (length_before - self.bytes.len()) as u64;
+                while self.chunk_ends.front().is_some_and(|(end, _)| *end < self.start_position) {
+                    self.chunk_ends.pop_front();
                 }
-                let at = self.marks.front().map_or(0, |(_, at)| *at);
-                Some(BufferItem::Command(words, at))
+                let received_at = self.chunk_ends.front().map_or(0, |(_, received_at)| *received_at);
+                Some(BufferItem::Command(words, received_at))
             }
             Ok(None) => {
                 // The time of a command is that of its last byte, which is still to come.
-                self.marks.clear();
+                self.chunk_ends.clear();
                 None
             }
-            Err(ProtocolError(what)) => Some(BufferItem::Malformed(what)),
+            Err(ProtocolError(message)) => Some(BufferItem::Malformed(message)),
         }
     }
 }
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -14,59 +14,61 @@
 /// The request for a client's command. Like a cache server the origin is told of the time that is left now: a fetch
 /// follows a miss, or has waited in the gate.
 pub fn encode(command: &Command, left_ms: u64, host: &str) -> Bytes {
-    let mut out = BytesMut::with_capacity(512);
-    out.put_slice(if command.write { b"PUT /" } else { b"GET /" });
-    out.put_slice(&command.key);
-    out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
-    out.put_slice(&command.id);
-    out.put_slice(
+    let mut request = BytesMut::with_capacity(512);
+    request.put_slice(if command.write { b"PUT /" } else { b"GET /" });
+    request.put_slice(&command.key);
+    request.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
+    request.put_slice(&command.id);
+    request.put_slice(
         format!("\r\nX-Facts: {}\r\n", cache_protocol::forwarded_facts(command, left_ms)).as_bytes(),
     );
     let body: &[u8] = command.value.as_deref().unwrap_or(b"");
     if command.write {
-        out.put_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
+        request.put_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
     }
-    out.put_slice(b"\r\n");
-    out.put_slice(body);
-    out.freeze()
+    request.put_slice(b"\r\n");
+    request.put_slice(body);
+    request.freeze()
 }
 
 /// Takes an answer off the front of what a connection brought; `None` while it is not all there.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
-    longest: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<ServerReply>, MalformedReply> {
     // Interim answers come ahead of the final one. They stay in the buffer until that has come, so that the
     // few that are allowed are counted anew each time: against a server that sends them without end.
-    let mut ahead = 0;
-    let mut heads = 0..=MAX_INTERIM;
+    let mut interim_bytes = 0;
+    let mut allowed_heads = 0..=MAX_INTERIM;
     let head = loop {
-        heads.next().ok_or(MalformedReply)?;
-        let Some(head) = http::head(&buffer[ahead..]).map_err(|_| MalformedReply)? else { return Ok(None) };
+        allowed_heads.next().ok_or(MalformedReply)?;
+        let Some(head) = http::head(&buffer[interim_bytes..]).map_err(|_| MalformedReply)? else {
+            return Ok(None);
+        };
         match head.status {
-            100 | 102..200 => ahead += head.length,
+            100 | 102..200 => interim_bytes += head.length,
             200.. => break head,
             // Nobody asked for another protocol, and there are no codes under 100.
             _ => return Err(MalformedReply),
         }
     };
-    let start = ahead + head.length;
+    let body_start = interim_bytes + head.length;
     let mut keep_alive = !head.close;
     let value = if head.chunked {
-        let (mut rest, mut body) = (BytesMut::from(&buffer[start..]), BytesMut::new());
+        let (mut rest, mut body) = (BytesMut::from(&buffer[body_start..]), BytesMut::new());
         if !ChunkedDecoder::default().decode(&mut rest, &mut body).map_err(|_| MalformedReply)? {
-            return if rest.len() + body.len() > 2 * longest { Err(MalformedReply) } else { Ok(None) };
+            return if rest.len() + body.len() > 2 * max_body_bytes { Err(MalformedReply) } else { Ok(None) };
         }
         keep_alive = false;
-        if body.len() > longest {
+        if body.len() > max_body_bytes {
             return Err(MalformedReply);
         }
         buffer.clear();
         body.freeze()
     } else {
         let length = match head.content_length {
-            Some(length) if length <= longest => length,
+            Some(length) if length <= max_body_bytes => length,
             // A value that ends with its connection can't be told from one that was cut off; of an answer
             // without one, the head tells all.
             None if head.status != 200 => {
@@ -75,10 +77,10 @@
             }
             _ => return Err(MalformedReply),
         };
-        if buffer.len() < start + length {
+        if buffer.len() < body_start + length {
             return Ok(None);
         }
-        let _ = buffer.split_to(start);
+        let _ = buffer.split_to(body_start);
         buffer.split_to(length).freeze()
     };
     let status = match head.status {
--- a/src/bin/pondproxy-node/stream_io.rs
+++ b/src/bin/pondproxy-node/stream_io.rs
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 
 /// Input is read in pieces of this size at the most.
-const PIECE: usize = 8 * 1024;
+const MAX_READ_BYTES: usize = 8 * 1024;
 
 /// Reads what is there, as far as a buffer has room, to its end; 0 at the end of the input.
 pub async fn read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
-    let room = (buffer.capacity() - buffer.len()).clamp(1, PIECE);
-    let read_piece = || {
-        let mut piece = [0; PIECE];
-        let count = read_now(stream, &mut piece[..room])?;
-        buffer.extend_from_slice(&piece[..count]);
+    let read_limit = (buffer.capacity() - buffer.len()).clamp(1, MAX_READ_BYTES);
+    let read_chunk = || {
+        let mut chunk = [0; MAX_READ_BYTES];
+        let count = read_now(stream, &mut chunk[..read_limit])?;
+        buffer.extend_from_slice(&chunk[..count]);
         Ok(count)
     };
-    transfer(stream, Interest::READABLE, read_piece).await
+    transfer(stream, Interest::READABLE, read_chunk).await
 }
 
 /// Writes as much as there is room for.
@@ -42,8 +42,8 @@
 }
 
 /// Reads what is there now.
-pub fn read_now(stream: &TcpStream, piece: &mut [u8]) -> io::Result<usize> {
-    retry_interrupted(|| (&*SockRef::from(stream)).read(piece))
+pub fn read_now(stream: &TcpStream, chunk: &mut [u8]) -> io::Result<usize> {
+    retry_interrupted(|| (&*SockRef::from(stream)).read(chunk))
 }
 
 /// Writes what there is room for now.
@@ -77,7 +77,7 @@
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            ended => return ended,
+            result => return result,
         }
     }
 }
@@ -92,7 +92,7 @@
         stream.ready(interest).await?;
         match stream.try_io(interest, &mut call) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            ended => return ended,
+            result => return result,
         }
     }
 }
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -22,11 +22,11 @@
 use crate::{cache_protocol, http, origin_protocol, resp};
 
 /// An answer that has begun and brings nothing more for this part of the longest aim will not be whole.
-const HALF_TOLD: u64 = 8;
+const PARTIAL_REPLY_TIMEOUT_DIVISOR: u64 = 8;
 /// The longest value that a server's answer may hold.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
 /// The wait for an answer to begin: the node's loop gives attempts up, by closing their connections.
-const NO_END: Duration = Duration::from_secs(3600);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3600);
 /// A connection rests for so long after an answer. Against a second copy or noise that comes a moment behind
 /// a good answer: it must be seen before the next request is written, or it would be read as its answer.
 const REUSE_DELAY_US: Micros = 15_000;
@@ -82,7 +82,7 @@
 struct Conn {
     server: ServerId,
     address: SocketAddr,
-    jobs: mpsc::Sender<ConnRequest>,
+    request_sender: mpsc::Sender<ConnRequest>,
     task: AbortHandle,
     /// The attempt that it was opened for or carries.
     attempt: Option<AttemptId>,
@@ -93,8 +93,8 @@
 
 impl Conn {
     /// Whether its task still takes requests.
-    fn up(&self) -> bool {
-        !self.jobs.is_closed()
+    fn is_open(&self) -> bool {
+        !self.request_sender.is_closed()
     }
 }
 
@@ -110,7 +110,7 @@
     conns: HashMap<ConnId, Conn>,
     /// Idle connections of each server, the one used last at the end.
     idle: HashMap<ServerId, Vec<ConnId>>,
-    next: ConnId,
+    next_id: ConnId,
     connection_slots: Arc<ConnectionSlots>,
     idle_limit: Micros,
     deployment: Arc<Deployment>,
@@ -130,7 +130,16 @@
         // may have run and so may not be sent again.
         let idle_limit = deployment.idle_timeout / 2;
         let (conns, idle) = (HashMap::new(), HashMap::new());
-        UpstreamPool { conns, idle, next: 1, connection_slots, idle_limit, deployment, memory, event_sender }
+        UpstreamPool {
+            conns,
+            idle,
+            next_id: 1,
+            connection_slots,
+            idle_limit,
+            deployment,
+            memory,
+            event_sender,
+        }
     }
 
     /// An idle connection to a server for an attempt, if there is one.
@@ -139,12 +148,12 @@
             let idle = self.idle.get_mut(&server)?;
             // In the order in which they became idle: the one used last among those that have rested.
             let conns = &self.conns;
-            let rested = |id: &ConnId| {
-                conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.up())
+            let reusable = |id: &ConnId| {
+                conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.is_open())
             };
-            let id = idle.iter().rposition(rested).map(|at| idle.remove(at))?;
+            let id = idle.iter().rposition(reusable).map(|index| idle.remove(index))?;
             match self.conns.get_mut(&id) {
-                Some(conn) if now < conn.idle_since + self.idle_limit && conn.up() => {
+                Some(conn) if now < conn.idle_since + self.idle_limit && conn.is_open() => {
                     conn.attempt = Some(attempt);
                     return Some(id);
                 }
@@ -165,21 +174,21 @@
             self.close_oldest_idle();
             self.connection_slots.acquire_for_server()
         })?;
-        let id = self.next;
-        self.next += 1;
-        let (jobs, take) = mpsc::channel(1);
+        let id = self.next_id;
+        self.next_id += 1;
+        let (request_sender, request_receiver) = mpsc::channel(1);
         let (event_sender, deployment, memory) =
             (self.event_sender.clone(), self.deployment.clone(), self.memory.clone());
         let task = tokio::spawn(async move {
-            let mut conn_task = ConnTask { id, protocol, deployment, memory, jobs: take, event_sender };
-            let news = conn_task.run(address).await;
-            let _ = conn_task.event_sender.send(NodeEvent::Connection(id, news)).await;
+            let mut conn_task = ConnTask { id, protocol, deployment, memory, request_receiver, event_sender };
+            let event = conn_task.run(address).await;
+            let _ = conn_task.event_sender.send(NodeEvent::Connection(id, event)).await;
         });
         let task = task.abort_handle();
         let conn = Conn {
             server,
             address,
-            jobs,
+            request_sender,
             task,
             attempt: Some(attempt),
             idle_since: 0,
@@ -209,7 +218,7 @@
     pub fn send_request(&mut self, id: ConnId, request: Bytes, client: ClientLiveness) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.request_count += 1;
-        conn.jobs.try_send(ConnRequest { request, client }).is_ok()
+        conn.request_sender.try_send(ConnRequest { request, client }).is_ok()
     }
 
     /// A connection owes nothing any more and may be used again.
@@ -263,7 +272,7 @@
 }
 
 /// Whether nothing has come on a connection, neither bytes nor its end, by the machine's word.
-fn silent(stream: &TcpStream) -> bool {
+fn nothing_received(stream: &TcpStream) -> bool {
     stream_io::peek(stream) == PeekResult::Empty
 }
 
@@ -273,7 +282,7 @@
     protocol: Protocol,
     deployment: Arc<Deployment>,
     memory: MemoryBudget,
-    jobs: mpsc::Receiver<ConnRequest>,
+    request_receiver: mpsc::Receiver<ConnRequest>,
     event_sender: mpsc::Sender<NodeEvent>,
 }
 
@@ -281,51 +290,52 @@
     /// Opens the connection and carries one request after the other, until it is lost.
     async fn run(&mut self, address: SocketAddr) -> ConnEvent {
         // A machine that vanished answers nothing: the connect has a time-out of its own.
-        let limit = Duration::from_micros(self.deployment.settings.connect_timeout.max(1_000));
-        let Ok(Ok(stream)) = tokio::time::timeout(limit, TcpStream::connect(address)).await else {
+        let connect_timeout = Duration::from_micros(self.deployment.settings.connect_timeout.max(1_000));
+        let Ok(Ok(stream)) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await else {
             return ConnEvent::Failed { written: false };
         };
         let _ = stream.set_nodelay(true);
-        let aim =
+        let longest_target =
             self.deployment.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
-        let half_told = Duration::from_micros((aim / HALF_TOLD).clamp(10_000, 250_000));
+        let partial_reply_timeout =
+            Duration::from_micros((longest_target / PARTIAL_REPLY_TIMEOUT_DIVISOR).clamp(10_000, 250_000));
         // Servers may hold values that are longer than what clients send through here: what bounds them is memory.
-        let longest = (self.memory.total_bytes() / 4).min(MAX_ANSWER);
+        let max_reply_bytes = (self.memory.total_bytes() / 4).min(MAX_REPLY_BYTES);
         let mut buffer = BytesMut::new();
-        let mut news = ConnEvent::Connected;
+        let mut event = ConnEvent::Connected;
         loop {
-            if self.event_sender.send(NodeEvent::Connection(self.id, news)).await.is_err() {
+            if self.event_sender.send(NodeEvent::Connection(self.id, event)).await.is_err() {
                 return ConnEvent::Failed { written: false };
             }
             buffer.reserve(2048);
-            let job = tokio::select! {
+            let next_request = tokio::select! {
                 // First: a connection that the server has ended is not written to, so that its request
                 // surely never ran.
                 biased;
                 _ = stream_io::read(&stream, &mut buffer) => return ConnEvent::Failed { written: false },
-                job = self.jobs.recv() => job,
+                next_request = self.request_receiver.recv() => next_request,
             };
-            let Some(ConnRequest { request, client }) = job else {
+            let Some(ConnRequest { request, client }) = next_request else {
                 return ConnEvent::Failed { written: false };
             };
             // Against work for nobody: since the request was chosen its client may have gone.
             if client.disconnected_after_unread_input().await {
-                news = ConnEvent::NotSent;
+                event = ConnEvent::NotSent;
                 continue;
             }
             // Against a request written behind an end, or behind an answer that nobody waits for, that came in
             // the very moment: the runtime tells of what is there a little later than it is there.
-            if !silent(&stream) {
+            if !nothing_received(&stream) {
                 return ConnEvent::Failed { written: false };
             }
-            let mut rest = &request[..];
-            while !rest.is_empty() {
+            let mut unwritten = &request[..];
+            while !unwritten.is_empty() {
                 // Nor does a request become whole that its server took a part of before its client went.
-                if rest.len() < request.len() && client.disconnected() {
+                if unwritten.len() < request.len() && client.disconnected() {
                     return ConnEvent::Failed { written: false };
                 }
-                match stream_io::write(&stream, rest).await {
-                    Ok(count) if count > 0 => rest = &rest[count..],
+                match stream_io::write(&stream, unwritten).await {
+                    Ok(count) if count > 0 => unwritten = &unwritten[count..],
                     _ => return ConnEvent::Failed { written: false },
                 }
             }
@@ -334,14 +344,18 @@
             let reply = loop {
                 // The rest of an answer comes with its beginning. Against lines and values that never end: one
                 // that stands still half told is spoilt, and its request can still go elsewhere.
-                let patience = if buffer.is_empty() { NO_END } else { half_told };
+                let read_timeout = if buffer.is_empty() { FIRST_BYTE_TIMEOUT } else { partial_reply_timeout };
                 let decoded = match self.protocol {
-                    Protocol::Resp => {
-                        cache_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
-                    }
-                    Protocol::Http => {
-                        origin_protocol::decode(&mut buffer, &self.deployment.load_field_names, longest)
-                    }
+                    Protocol::Resp => cache_protocol::decode(
+                        &mut buffer,
+                        &self.deployment.load_field_names,
+                        max_reply_bytes,
+                    ),
+                    Protocol::Http => origin_protocol::decode(
+                        &mut buffer,
+                        &self.deployment.load_field_names,
+                        max_reply_bytes,
+                    ),
                 };
                 match decoded {
                     Ok(Some(reply)) => break reply,
@@ -350,30 +364,31 @@
                 }
                 // Against long answers that together are more than the memory: they wait their turn.
                 if buffer.len() > 4096 && reservation.is_none() {
-                    let stated = match self.protocol {
+                    let declared_length = match self.protocol {
                         Protocol::Resp => resp::declared_length(&buffer),
                         Protocol::Http => {
                             http::head(&buffer).ok().flatten().and_then(|head| head.content_length)
                         }
                     };
-                    let stated = stated.unwrap_or(0).clamp(MAX_VALUE_BYTES, longest);
-                    reservation = Some(self.memory.reserve(2 * stated).await);
-                    buffer.reserve(stated);
+                    let declared_length =
+                        declared_length.unwrap_or(0).clamp(MAX_VALUE_BYTES, max_reply_bytes);
+                    reservation = Some(self.memory.reserve(2 * declared_length).await);
+                    buffer.reserve(declared_length);
                 }
                 buffer.reserve(2048);
-                match tokio::time::timeout(patience, stream_io::read(&stream, &mut buffer)).await {
+                match tokio::time::timeout(read_timeout, stream_io::read(&stream, &mut buffer)).await {
                     Ok(Ok(count)) if count > 0 => {}
                     Ok(_) => return ConnEvent::Failed { written: true },
                     Err(_) => return ConnEvent::Malformed,
                 }
             };
             // Bytes beyond the answer belong to no request: nothing after them could be matched.
-            let more = !buffer.is_empty() || !silent(&stream);
-            let keep_alive = reply.keep_alive && !more;
+            let has_extra_bytes = !buffer.is_empty() || !nothing_received(&stream);
+            let keep_alive = reply.keep_alive && !has_extra_bytes;
             buffer = BytesMut::new();
-            news = ConnEvent::Reply(ServerReply { keep_alive, ..reply });
+            event = ConnEvent::Reply(ServerReply { keep_alive, ..reply });
             if !keep_alive {
-                return news;
+                return event;
             }
         }
     }
