--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -21,9 +21,13 @@
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp;
 
-/// Requests of one connection that are answered at the same time; more wait, or are refused. The first figure
-/// holds until it is known how long the answers are: together they may hold the third, as a part of the memory.
-const PIPELINE: (usize, usize, usize) = (16, 64, 16);
+/// Maximum number of pending replies of one connection before its first reply shows how long replies are.
+/// Further commands wait in the buffer or are refused.
+const INITIAL_PIPELINE_LENGTH: usize = 16;
+/// Maximum number of pending replies of one connection however short its replies are.
+const MAX_PIPELINE_LENGTH: usize = 64;
+/// The pending replies of one connection may take up to the node's memory budget divided by this.
+const PIPELINE_MEMORY_DIVISOR: usize = 16;
 /// A connection that has brought no whole command for so long after it was taken is closed. All three of
 /// these limits are points in time, which no dribbled byte moves.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
@@ -33,16 +37,23 @@
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A connection on which nothing is open goes after this long, also where nobody wants its place.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// After an error that ends a connection, its client's input is read on for so long, and so much of it.
-const LINGER: (Duration, usize) = (Duration::from_millis(200), 256 * 1024);
+/// Maximum time for which input is read and discarded after the last reply of a connection that the node closes
+/// because of an error.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum number of bytes that are read and discarded in that time.
+const LINGER_MAX_BYTES: usize = 256 * 1024;
 /// A long command waits for memory for so long, where others of its connection are open: behind it the client's
 /// end can't be seen.
 const LONG_COMMAND_MEMORY_WAIT: Duration = Duration::from_millis(20);
 /// Between two pieces of input that is not kept. Against floods: what they cost others must be little.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
-/// The pause grows by so many times what the loop is late by, where this is more than the first figure, which
-/// is how exact a timer is; up to the last. So many floods share what one may take.
-const BUSY: (Duration, u32, Duration) = (Duration::from_millis(2), 4, Duration::from_millis(20));
+/// Precision of the runtime's timers; a discard that is late by less does not lengthen the pause.
+const TIMER_PRECISION: Duration = Duration::from_millis(2);
+/// The pause between discards grows by this many times the lateness of the last one, so that many flooding
+/// connections together take no more time than one may.
+const DISCARD_LATENESS_FACTOR: u32 = 4;
+/// Maximum pause between discards.
+const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
 /// Refused, and never sent on.
 const BUSY_REPLY: &str = "-BUSY\r\n";
 /// Refusals that are written at once.
@@ -186,7 +197,7 @@
 
 async fn serve_client(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
     let _ = stream.set_nodelay(true);
-    let (reply_sender, reply_receiver) = mpsc::channel(PIPELINE.1 + 1);
+    let (reply_sender, reply_receiver) = mpsc::channel(MAX_PIPELINE_LENGTH + 1);
     let now = Instant::now();
     let mut session = Session {
         socket: ClientSocket::new(stream),
@@ -211,7 +222,7 @@
     let Session { mut socket, pending_replies, input_abandoned, context, client_slot, .. } = session;
     client_slot.set_closing();
     if session_end == SessionEnd::Closed && input_abandoned {
-        socket.lingering_close(LINGER).await;
+        socket.lingering_close(LINGER_TIMEOUT, LINGER_MAX_BYTES).await;
     }
     // From here on nothing is sent on for it, also while the news of its end waits behind others.
     drop(socket);
@@ -355,7 +366,7 @@
             self.input_rechecked &= requested_eviction.is_some();
             // One that goes on to send what is no request is not waited for.
             let sends_no_requests = |eviction: &Eviction| {
-                *eviction == Eviction::Unclassified && self.first_reply_index > PIPELINE.1 as u64
+                *eviction == Eviction::Unclassified && self.first_reply_index > MAX_PIPELINE_LENGTH as u64
             };
             if let Some(eviction) =
                 requested_eviction.filter(|eviction| lacks_memory || !unread || sends_no_requests(eviction))
@@ -406,8 +417,9 @@
                     }
                 }
                 () = sleep_until(next_discard_at), if unread && discards_input => {
-                    let lateness = next_discard_at.elapsed().saturating_sub(BUSY.0);
-                    self.next_discard_at = Instant::now() + (DISCARD_PAUSE + BUSY.1 * lateness).min(BUSY.2);
+                    let lateness = next_discard_at.elapsed().saturating_sub(TIMER_PRECISION);
+                    self.next_discard_at = Instant::now()
+                        + (DISCARD_PAUSE + DISCARD_LATENESS_FACTOR * lateness).min(MAX_DISCARD_PAUSE);
                     if closed_by_client(self.socket.read_discarded(
                         |chunk| if !self.input_abandoned { self.input.add(chunk, 0) }
                     )) {
@@ -451,9 +463,10 @@
     /// memory that others need.
     fn pipeline_limit(&self) -> usize {
         match self.longest_reply_bytes {
-            0 => PIPELINE.0,
+            0 => INITIAL_PIPELINE_LENGTH,
             longest_reply_bytes => {
-                (self.context.memory.total_bytes() / PIPELINE.2 / longest_reply_bytes).clamp(1, PIPELINE.1)
+                (self.context.memory.total_bytes() / PIPELINE_MEMORY_DIVISOR / longest_reply_bytes)
+                    .clamp(1, MAX_PIPELINE_LENGTH)
             }
         }
     }
--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -113,10 +113,10 @@
 
     /// Reads on for a moment, and so much, after the last answer: a close with input unread would reset the
     /// connection and could take the answer away from the client.
-    pub async fn lingering_close(&mut self, (time, bytes): (Duration, usize)) {
+    pub async fn lingering_close(&mut self, max_time: Duration, max_bytes: usize) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let read_remaining = async {
-            let mut remaining = bytes;
+            let mut remaining = max_bytes;
             while remaining > 0 {
                 match self.read(|_| {}) {
                     Ok(0) => return,
@@ -131,7 +131,7 @@
                 tokio::task::yield_now().await;
             }
         };
-        let _ = tokio::time::timeout(time, read_remaining).await;
+        let _ = tokio::time::timeout(max_time, read_remaining).await;
     }
 }
 
