--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -81,18 +81,21 @@
 }
 
 /// An id while its request is open. Against a client that names another's: the second is not taken.
-struct OpenRequestId(Bytes, Arc<Mutex<HashSet<Bytes>>>);
+struct OpenRequestId {
+    id: Bytes,
+    open_ids: Arc<Mutex<HashSet<Bytes>>>,
+}
 
 impl OpenRequestId {
-    fn claim(id: &Bytes, ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenRequestId> {
-        let is_new = ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        is_new.then(|| OpenRequestId(id.clone(), ids.clone()))
+    fn claim(id: &Bytes, open_ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenRequestId> {
+        let is_new = open_ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_new.then(|| OpenRequestId { id: id.clone(), open_ids: open_ids.clone() })
     }
 }
 
 impl Drop for OpenRequestId {
     fn drop(&mut self) {
-        self.1.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.0);
+        self.open_ids.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
     }
 }
 
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -15,7 +15,10 @@
 /// So much is kept of commands that wait for others, in bytes: the longest there is, or some hundred short ones.
 const MAX_BUFFERED_BYTES: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
 /// Position of the end of a piece in the input, and when the piece was read.
-type ChunkEnd = (u64, Micros);
+struct ChunkEnd {
+    position: u64,
+    received_at: Micros,
+}
 
 /// What is next in the input.
 #[derive(Debug, PartialEq)]
@@ -103,7 +106,8 @@
             }
         } else if !chunk.is_empty() {
             self.bytes.extend_from_slice(chunk);
-            self.chunk_ends.push_back((self.start_position + self.bytes.len() as u64, now));
+            let position = self.start_position + self.bytes.len() as u64;
+            self.chunk_ends.push_back(ChunkEnd { position, received_at: now });
         }
     }
 
@@ -136,10 +140,10 @@
         match resp::take_command(&mut self.bytes) {
             Ok(Some(words)) => {
                 self.start_position += (length_before - self.bytes.len()) as u64;
-                while self.chunk_ends.front().is_some_and(|(end, _)| *end < self.start_position) {
+                while self.chunk_ends.front().is_some_and(|end| end.position < self.start_position) {
                     self.chunk_ends.pop_front();
                 }
-                let received_at = self.chunk_ends.front().map_or(0, |(_, received_at)| *received_at);
+                let received_at = self.chunk_ends.front().map_or(0, |end| end.received_at);
                 Some(BufferItem::Command(words, received_at))
             }
             Ok(None) => {
