--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -1,6 +1,24 @@
-//! Who holds a descriptor, and who gives way to whom: clients, peers that are no clients, and connections to
-//! servers share one table. Knows nothing of what is said on a connection, but that a request was taken on it
-//! and that nothing is owed there any more.
+//! The node's descriptor budget: which connections may hold a descriptor, and which are evicted for others.
+//!
+//! Three kinds of holder share one table of slots: client connections, on which a request was accepted;
+//! unclassified connections, on which none was accepted so far, so that the peer may not be a client; and
+//! connections to servers. Some descriptors are not in the table: they are reserved for the listener,
+//! discovery, the standard streams and connections that are being closed.
+//!
+//! Client and unclassified connections together may hold two thirds of the slots, and so may server
+//! connections; one third is therefore guaranteed to servers. Above that third, server connections leave
+//! `accept_headroom` slots for new connections to the node, and so do requests on connections that may be
+//! evicted. New connections leave `server_headroom` slots for server connections.
+//!
+//! When slots run short, connections are asked to close in this order, the oldest of each group first:
+//! unclassified connections that have lasted for [`MIN_IDLE_TIME`], client connections that have been idle
+//! for as long, and then younger unclassified connections. A client connection with an open request, or one
+//! idle for a shorter time, is not evicted: the platform's terms of service let a node close a client
+//! connection only after 2 s without an open request. Idle connections to servers are closed by their pool,
+//! which is told when [`ConnectionSlots::servers_limit_clients`] holds.
+//!
+//! This module knows nothing of protocols. Sessions report when a request begins and when a connection
+//! becomes idle.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,31 +27,34 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Sockets kept back for the listener, discovery, standard streams, signals and the runtime, and for those just
-/// being closed.
+/// Descriptors that are reserved for the listener, discovery, the standard streams, signals and the runtime,
+/// and for sockets that are being closed.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// A connection on which nothing is open may go after this long, where others want its place.
+/// Time without an open request after which a connection may be closed to free its slot.
 pub const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
-/// While no place is free, one is looked for again after this long at the latest: time makes more connections
-/// ready to give way, and nothing tells of it.
+/// Longest wait between two looks for a free slot. Connections become evictable as time passes, and no
+/// notification reports that.
 const FREE_SLOT_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Names a client's connection; never used twice.
+/// Identifies a connection to the node; never used twice.
 pub type ClientId = u64;
 
-/// The table of connection slots, as many as there are descriptors beside the reserve.
+/// The table of connection slots: one for each descriptor that is not reserved.
 pub struct ConnectionSlots {
-    /// All of them.
+    /// Number of slots in the table.
     total_slots: usize,
-    /// As many as clients may have, and servers too: what this leaves is sure for the others.
+    /// Maximum number of slots for connections to the node, and also for connections to servers. The rest of
+    /// the slots is guaranteed to the other side.
     max_slots_per_side: usize,
-    /// So many are never held by requests and servers: newcomers are taken there, and served or refused, while
-    /// all else is busy.
+    /// Number of slots that open requests and server connections leave free, so that new connections are
+    /// accepted and answered or refused while everything else is busy.
     accept_headroom: usize,
-    /// So many are left to servers by newcomers, whatever servers have already.
+    /// Number of slots that new connections to the node leave free for server connections, however many
+    /// servers have already.
     server_headroom: usize,
-    /// From so many connections of clients on, those that have rested go also where nobody wants their connection slots.
-    /// Clients use at most a third of the descriptors, so that some of them want one and don't come.
+    /// Number of client connections above which idle ones are evicted even if nobody waits for a slot.
+    /// Clients use at most a third of the descriptors, so a client that wants a connection may not try to
+    /// open one.
     idle_eviction_threshold: usize,
     table: Mutex<SlotTable>,
     slot_freed: Notify,
@@ -43,22 +64,22 @@
 struct SlotTable {
     server_connections: usize,
     clients: HashMap<ClientId, ClientEntry>,
-    /// The name that was given last.
+    /// The identifier that was assigned last.
     last_client_id: ClientId,
-    /// The listener may have a newcomer in its hand that has no place yet.
+    /// Whether the listener may hold an accepted connection that has no slot yet.
     accepting: bool,
 }
 
-/// How a client's connection stands.
+/// State of one connection to the node.
 struct ClientEntry {
     state: ClientState,
-    /// It gives its place up or was asked to.
+    /// Whether the connection was asked to close or is closing by itself.
     closing: bool,
     eviction_notify: Arc<Notify>,
 }
 
 impl ClientEntry {
-    /// Asks the connection to give its place up.
+    /// Asks the connection to close.
     fn request_eviction(&mut self) {
         self.closing = true;
         self.eviction_notify.notify_one();
@@ -67,18 +88,20 @@
 
 #[derive(Clone, Copy)]
 enum ClientState {
-    /// No request was taken on it yet, so whoever is there may be no client. Since it came, or since a request
-    /// of it was refused for want of a place.
+    /// No request was accepted on the connection so far, so the peer may not be a client. Holds the time at
+    /// which the connection was accepted, or at which a request was last refused for lack of a slot.
     Unclassified(Instant),
-    /// A request is open on it.
+    /// A request is open on the connection.
     Open,
-    /// Nothing was open on it since then. What is no request does not count, however often it comes.
+    /// No request has been open since this time. Commands that are not requests do not reset it, however
+    /// often they come.
     Idle(Instant),
 }
 
 impl ClientState {
-    /// Whose turn it is to give way, the lowest first: strangers that have had their time, clients that have
-    /// rested for as long, strangers that have not. Nobody else has to.
+    /// Position in the order of eviction, lowest first: unclassified connections that have lasted for
+    /// `MIN_IDLE_TIME`, client connections that have been idle for as long, younger unclassified connections.
+    /// `None` for connections that may not be evicted.
     fn eviction_rank(self, now: Instant) -> Option<(u8, Instant)> {
         match self {
             ClientState::Unclassified(since) if since + MIN_IDLE_TIME <= now => Some((0, since)),
@@ -89,20 +112,21 @@
     }
 }
 
-/// How a connection may give its place up.
+/// How a connection that was asked to close may do so.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Eviction {
-    /// A client's, which may be closed between requests.
+    /// A client connection, which may be closed between requests.
     IdleClient,
-    /// No request was ever taken on it, and it has had its time.
+    /// An unclassified connection that has lasted for `MIN_IDLE_TIME`.
     Unclassified,
-    /// The same, but a request may well be under way: one that is must find a refusal.
+    /// A younger unclassified connection. A request may well be on its way, and must then be answered with a
+    /// refusal.
     NewlyAccepted,
 }
 
 impl ConnectionSlots {
-    /// The table of a node that may have so many sockets. Clients and servers share it; neither can take more of
-    /// it than leaves the others a third at the least.
+    /// Creates the table of a node that may open `sockets` descriptors. Client and server connections share
+    /// it; neither side can take more than leaves the other about a third.
     pub fn new(sockets: usize) -> Arc<ConnectionSlots> {
         let total_slots = sockets - (RESERVED_DESCRIPTORS + sockets / 32).min(sockets / 2);
         let max_slots_per_side = total_slots * 2 / 3;
@@ -125,22 +149,25 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Connection slots that newcomers may still take while servers have so many.
+    /// Number of slots that new connections to the node may still take while `server_connections` slots are
+    /// taken by, or kept for, servers.
     fn free_client_slots(&self, table: &SlotTable, server_connections: usize) -> usize {
         let unused =
             self.total_slots.saturating_sub(table.clients.len() + server_connections + self.server_headroom);
         unused.min(self.max_slots_per_side.saturating_sub(table.clients.len()))
     }
 
-    /// The listener begins to wait for newcomers, or has given up. The one that it has in its hand is counted in the
-    /// reserve.
+    /// Sets whether the listener accepts connections. An accepted connection that has no slot yet is counted
+    /// in the reserved descriptors.
     pub fn set_accepting(&self, on: bool) {
         self.lock().accepting = on;
     }
 
-    /// A place for a newcomer, if there is one. Against newcomers that wait with the machine, unseen, for as long as
-    /// those before them stay: while few slots are left, another gives way for each of them; once none is left
-    /// there are more than that, and so must those be who go.
+    /// Returns a slot for a new connection to the node, or `None` if no slot is free.
+    ///
+    /// Without evictions, new connections would wait in the kernel's backlog, unknown to the node, until
+    /// earlier ones close. So while few slots are left, each new connection evicts one other; once none is
+    /// left, more may be waiting, and as many as allowed are evicted.
     pub fn acquire_for_client(self: &Arc<Self>) -> Option<ClientSlot> {
         let mut table = self.lock();
         table.evict_idle_above(self.idle_eviction_threshold);
@@ -162,19 +189,20 @@
         Some(ClientSlot { id, connection_slots: self.clone(), eviction_notify })
     }
 
-    /// Waits until a place may have come free.
+    /// Waits until a slot may be free.
     pub async fn wait_for_free_slot(&self) {
         let _ = tokio::time::timeout(FREE_SLOT_RECHECK_INTERVAL, self.slot_freed.notified()).await;
     }
 
-    /// Whether few slots are left to newcomers since connections to servers hold more than is sure to them.
+    /// Whether few slots are left for new connections to the node because server connections hold more than
+    /// their guaranteed number.
     pub fn servers_limit_clients(&self) -> bool {
         let table = self.lock();
         table.server_connections > self.guaranteed_server_slots()
             && self.free_client_slots(&table, table.server_connections) < self.accept_headroom
     }
 
-    /// A place for a connection to a server, if there is one.
+    /// Returns a slot for a connection to a server, or `None` if servers may take no more.
     pub fn acquire_for_server(self: &Arc<Self>) -> Option<ServerSlot> {
         let mut table = self.lock();
         let unused = self.total_slots.saturating_sub(table.clients.len() + table.server_connections);
@@ -193,18 +221,19 @@
         }
         table.server_connections += 1;
         if unused <= self.server_headroom {
-            // Against requests that find no connection to a server while idle peers have all that is not sure.
+            // Without this, requests would find no connection to a server while idle peers hold every slot
+            // that is not guaranteed to servers.
             table.evict_up_to(1);
         }
         Some(ServerSlot(self.clone()))
     }
 
-    /// Connection slots that are sure to servers.
+    /// Number of slots that are guaranteed to servers.
     fn guaranteed_server_slots(&self) -> usize {
         self.total_slots - self.max_slots_per_side
     }
 
-    /// Whether no client is connected, and the listener waits for none.
+    /// Whether nothing is connected to the node and the listener accepts nothing.
     pub fn no_clients(&self) -> bool {
         let table = self.lock();
         table.clients.is_empty() && !table.accepting
@@ -212,14 +241,15 @@
 }
 
 impl SlotTable {
-    /// How many connections, but for one, give way to newcomers or are about to go.
+    /// Number of connections that may be evicted or are closing, without `excluded`.
     fn evictable_clients(&self, excluded: Option<ClientId>) -> usize {
         let now = Instant::now();
         let others = self.clients.iter().filter(|(id, _)| Some(**id) != excluded);
         others.filter(|(_, entry)| entry.closing || entry.state.eviction_rank(now).is_some()).count()
     }
 
-    /// Asks clients that have rested to go, as far as there are more clients than so many.
+    /// Asks idle client connections to close, at most as many as there are client connections above
+    /// `threshold`.
     fn evict_idle_above(&mut self, threshold: usize) {
         let now = Instant::now();
         let may_be_idle =
@@ -233,9 +263,9 @@
         evictable.into_iter().take(surplus).for_each(|(_, entry)| entry.request_eviction());
     }
 
-    /// Asks up to so many connections to give their slots up, those whose turn it is. One that goes keeps its place
-    /// for a moment longer, so that were all asked at once, all would have to go as soon as they have come: at most
-    /// half of those that give way go at the same time.
+    /// Asks up to `count` connections to close, in the order of eviction. A closing connection keeps its slot
+    /// for a moment, so if all were asked at once, each new connection would have to close as soon as it is
+    /// accepted. Therefore at most half of the evictable connections close at the same time.
     fn evict_up_to(&mut self, count: usize) {
         let now = Instant::now();
         let closing_count = self.clients.values().filter(|entry| entry.closing).count();
@@ -248,7 +278,7 @@
     }
 }
 
-/// The place of a client's connection; free again when dropped.
+/// The slot of a connection to the node; released when dropped.
 pub struct ClientSlot {
     id: ClientId,
     connection_slots: Arc<ConnectionSlots>,
@@ -256,16 +286,17 @@
 }
 
 impl ClientSlot {
-    /// The connection's name.
+    /// Returns the connection's identifier.
     pub fn id(&self) -> ClientId {
         self.id
     }
 
-    /// A request has come that is a proper one; whether it may be taken. From then on, and for as long as the
-    /// terms want, the connection gives way to nobody.
+    /// Whether a valid request that has arrived may be accepted. If so, the connection is not evicted until
+    /// it has been without an open request for `MIN_IDLE_TIME`, as the platform's terms of service require.
     pub fn begin_request(&self) -> bool {
         let (mut table, now) = (self.connection_slots.lock(), Instant::now());
-        // What is sure to servers is left to them, as the request may need one of them.
+        // Slots that are guaranteed to servers do not count as free, as the request may need a server
+        // connection.
         let free_slots = self.connection_slots.free_client_slots(
             &table,
             table.server_connections.max(self.connection_slots.guaranteed_server_slots()),
@@ -284,7 +315,7 @@
         true
     }
 
-    /// Nothing is owed on the connection.
+    /// Records that all requests on the connection are answered.
     pub fn set_idle(&self) {
         if let Some(entry) = self.connection_slots.lock().clients.get_mut(&self.id)
             && matches!(entry.state, ClientState::Open)
@@ -293,12 +324,13 @@
         }
     }
 
-    /// A client has rested for as long as the terms want.
+    /// Evicts idle client connections above `idle_eviction_threshold`; called when a connection has been idle
+    /// for `MIN_IDLE_TIME`.
     pub fn evict_surplus_idle(&self) {
         self.connection_slots.lock().evict_idle_above(self.connection_slots.idle_eviction_threshold);
     }
 
-    /// Whether the connection is asked to give its place up.
+    /// Returns how the connection may close, if it was asked to.
     pub fn eviction_requested(&self) -> Option<Eviction> {
         let table = self.connection_slots.lock();
         let entry = table.clients.get(&self.id).filter(|entry| entry.closing)?;
@@ -311,19 +343,20 @@
         })
     }
 
-    /// Waits until the connection may have been asked.
+    /// Waits until the connection may have been asked to close.
     pub async fn wait_for_eviction_request(&self) {
         self.eviction_notify.notified().await;
     }
 
-    /// The connection is about to close by itself: there is no need to ask it.
+    /// Records that the connection closes by itself, so that it need not be asked to.
     pub fn set_closing(&self) {
         if let Some(entry) = self.connection_slots.lock().clients.get_mut(&self.id) {
             entry.closing = true;
         }
     }
 
-    /// A client is in the midst of a command and stays for now.
+    /// Cancels the eviction of a client that is in the middle of sending a command. Its idle time starts
+    /// anew.
     pub fn cancel_eviction(&self) {
         if let Some(entry) = self.connection_slots.lock().clients.get_mut(&self.id) {
             (entry.state, entry.closing) = (ClientState::Idle(Instant::now()), false);
@@ -339,7 +372,7 @@
     }
 }
 
-/// The place of a connection to a server; free again when dropped.
+/// The slot of a connection to a server; released when dropped.
 pub struct ServerSlot(Arc<ConnectionSlots>);
 
 impl Drop for ServerSlot {
