--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -1,4 +1,7 @@
-//! The server side: the listener, clients' connections, and the commands on them.
+//! Client connections: the listener, one session for each connection, and the parsing of commands.
+//!
+//! A session reads commands, hands requests to the event loop, and writes the replies in the order of the
+//! commands. It knows nothing of servers or of how requests are routed.
 
 use std::collections::{HashSet, VecDeque};
 use std::io;
@@ -28,24 +31,24 @@
 const MAX_PIPELINE_LENGTH: usize = 64;
 /// The pending replies of one connection may take up to the node's memory budget divided by this.
 const PIPELINE_MEMORY_DIVISOR: usize = 16;
-/// A connection that has brought no whole command for so long after it was taken is closed. All three of
-/// these limits are points in time, which no dribbled byte moves.
+/// Time after acceptance within which a connection must have sent a complete command, or it is closed. This
+/// limit and the next two are fixed points in time, so a client that sends single bytes does not extend them.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// A command must be whole so long after its first byte.
+/// Time after its first byte within which a command must be complete.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// An answer must be written so long after its turn has come.
+/// Time within which a reply must be written completely, from the start of its first write.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection on which nothing is open goes after this long, also where nobody wants its place.
+/// Time without an open request after which a connection is closed even if nobody needs its slot.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Maximum time for which input is read and discarded after the last reply of a connection that the node closes
 /// because of an error.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum number of bytes that are read and discarded in that time.
 const LINGER_MAX_BYTES: usize = 256 * 1024;
-/// A long command waits for memory for so long, where others of its connection are open: behind it the client's
-/// end can't be seen.
+/// Maximum time for which a long command waits for memory while other requests of its connection are open. It
+/// is short because a client's disconnect cannot be seen behind unread input.
 const LONG_COMMAND_MEMORY_WAIT: Duration = Duration::from_millis(20);
-/// Between two pieces of input that is not kept. Against floods: what they cost others must be little.
+/// Pause between two reads of input that is discarded. Limits what a flooding client costs the others.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
 /// Precision of the runtime's timers; a discard that is late by less does not lengthen the pause.
 const TIMER_PRECISION: Duration = Duration::from_millis(2);
@@ -54,33 +57,34 @@
 const DISCARD_LATENESS_FACTOR: u32 = 4;
 /// Maximum pause between discards.
 const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
-/// Refused, and never sent on.
+/// Reply to a command that was refused and never forwarded.
 const BUSY_REPLY: &str = "-BUSY\r\n";
-/// Refusals that are written at once.
+/// Maximum number of busy replies that are written at once.
 const MAX_BUSY_REPLIES_PER_WRITE: u64 = 512;
-/// The longest key, id and list of facts.
+/// Maximum length of a key, an id and a list of facts.
 const MAX_WORD_BYTES: usize = 512;
-/// The longest wait that a client may state, in milliseconds, unless its class allows for a longer one.
+/// Maximum time left (`d`) that a client may state, unless its class has a longer deadline.
 const MAX_WAIT_MS: f64 = 60_000.0;
 
-/// What all connections of clients share.
+/// State that all client connections share.
 pub struct SessionContext {
     pub deployment: Arc<Deployment>,
     pub clock: Clock,
     pub event_sender: mpsc::Sender<NodeEvent>,
-    /// Where the node stands.
+    /// The current phase of the node.
     pub phase: watch::Receiver<Phase>,
-    /// The table of descriptors.
+    /// The table that limits the number of connections.
     pub connection_slots: Arc<ConnectionSlots>,
-    /// Requests that may still be taken; one counts until its answer is passed on.
+    /// Permits for open requests; each is held until the reply is passed on for writing.
     pub request_permits: Arc<Semaphore>,
-    /// What they and all else may hold.
+    /// The memory budget of the node.
     pub memory: MemoryBudget,
-    /// Ids of the requests that are open.
+    /// Ids of all open requests.
     pub open_ids: Arc<Mutex<HashSet<Bytes>>>,
 }
 
-/// An id while its request is open. Against a client that names another's: the second is not taken.
+/// Reservation of a request id while the request is open. Prevents one client from using the id of another's
+/// open request: the second request is rejected.
 struct OpenRequestId {
     id: Bytes,
     open_ids: Arc<Mutex<HashSet<Bytes>>>,
@@ -99,18 +103,18 @@
     }
 }
 
-/// Where the node stands.
+/// Phase of the life of a node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// It has no list of servers yet.
+    /// No list of servers has arrived yet.
     Starting,
-    /// It serves.
+    /// The node accepts requests.
     Ready,
-    /// It ends: connections are closed between requests.
+    /// The node shuts down: connections are closed between requests, and new requests are refused.
     Draining,
 }
 
-/// A command of a client.
+/// A parsed command of a client.
 #[derive(Debug, Clone, Default)]
 pub struct Command {
     pub write: bool,
@@ -127,7 +131,7 @@
 }
 
 impl Command {
-    /// The key as the module knows it, the same at every node.
+    /// Returns the key as the decision module knows it, the same on every node.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok();
         let hex = text.filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
@@ -135,21 +139,21 @@
     }
 }
 
-/// A command on its way to the node, and where its answer goes.
+/// A command on its way to the event loop, and where its reply goes.
 #[derive(Debug)]
 pub struct ClientRequest {
     pub command: Command,
     pub received_at: Micros,
     pub client: ClientId,
-    /// Whether the client is still there.
+    /// Tells whether the client is still connected.
     pub liveness: ClientLiveness,
     pub reply_index: u64,
     pub reply_sender: mpsc::Sender<ClientReply>,
-    /// What the request holds of the memory, its value and that value on its way included.
+    /// Memory for the request: its value, and the copy of the value that is sent to the origin.
     pub reservation: MemoryReservation,
 }
 
-/// An answer for one of a connection's pending replies, and what it holds of the memory.
+/// The reply to one of a connection's pending commands, and the memory that it holds.
 #[derive(Debug)]
 pub struct ClientReply {
     pub reply_index: u64,
@@ -157,7 +161,7 @@
     pub reservation: Option<MemoryReservation>,
 }
 
-/// Takes connections until the node drains, then those that the machine has already taken.
+/// Accepts connections until the node drains, and then those that the kernel has already accepted.
 pub async fn listen(listener: TcpListener, context: Arc<SessionContext>) {
     let mut phase = context.phase.clone();
     loop {
@@ -182,19 +186,21 @@
                 };
                 tokio::spawn(serve_client(stream, context.clone(), client_slot));
             }
-            // Out of descriptors, or the client has left: neither ends the node.
+            // Either no descriptor is left or the client has disconnected; neither is a reason to stop the
+            // node.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
     context.connection_slots.set_accepting(false);
 }
 
-/// Why a connection of a client ends.
+/// Why a session ends.
 #[derive(Debug, PartialEq)]
 enum SessionEnd {
-    /// The client has closed it, or takes nothing.
+    /// The client has disconnected or does not read its replies, or the connection must close with replies
+    /// pending.
     Disconnected,
-    /// The node closes it: between requests, or after input that lost its framing.
+    /// The node closes the connection, between requests or after input that cannot be processed further.
     Closed,
 }
 
@@ -227,22 +233,23 @@
     if session_end == SessionEnd::Closed && input_abandoned {
         socket.lingering_close(LINGER_TIMEOUT, LINGER_MAX_BYTES).await;
     }
-    // From here on nothing is sent on for it, also while the news of its end waits behind others.
+    // Dropping the socket ends the client's liveness: no attempt is sent for it from here on, even while the
+    // event below waits in the queue.
     drop(socket);
     if pending_replies.iter().any(PendingReply::is_open) {
         let _ = context.event_sender.send(NodeEvent::ClientDisconnected(client_slot.id())).await;
     }
 }
 
-/// The place of one answer, or of some.
+/// The pending reply to one command, or to several that were skipped.
 enum PendingReply {
-    /// It is owed. Counts the request among those that are open, and its id.
+    /// The request is open. Holds its permit and its id.
     Open {
         #[expect(dead_code, reason = "held for its drop")]
         guards: (OwnedSemaphorePermit, OpenRequestId),
     },
     Ready(Bytes, Option<MemoryReservation>),
-    /// So many commands that were passed over.
+    /// Number of skipped commands, each of which gets a busy reply.
     BusyReplies(u64),
 }
 
@@ -252,7 +259,7 @@
     }
 }
 
-/// An answer that is being written.
+/// A reply that is being written.
 struct PendingWrite {
     bytes: Bytes,
     deadline: Instant,
@@ -265,26 +272,27 @@
     reply_sender: mpsc::Sender<ClientReply>,
     reply_receiver: mpsc::Receiver<ClientReply>,
     input: CommandBuffer,
-    /// Until when a long command waits for memory.
+    /// When a long command stops waiting for memory.
     memory_wait_deadline: Option<Instant>,
-    /// When the next piece of what is not kept is read.
+    /// When input that is discarded is read next.
     next_discard_at: Instant,
     pending_write: Option<PendingWrite>,
-    /// Answers in the order of their commands.
+    /// Replies in the order of their commands.
     pending_replies: VecDeque<PendingReply>,
-    /// Index of the first pending reply.
+    /// Index of the first pending reply; the number of replies that were taken for writing before it.
     first_reply_index: u64,
-    /// No more is taken: the framing of the input is lost, or a time limit has passed.
+    /// No more commands are accepted: the framing of the input is lost, a time limit has passed, or the
+    /// connection was refused on eviction.
     input_abandoned: bool,
-    /// Since it was asked for its place, it was looked whether there is more to read.
+    /// Whether the socket was checked once more for input since the connection was asked to close.
     input_rechecked: bool,
-    /// Its longest answer so far.
+    /// Length of the longest reply so far.
     longest_reply_bytes: usize,
-    /// When the command that is awaited must be whole; `None` where none has begun.
+    /// When the command that is being received must be complete; `None` if none has begun.
     command_deadline: Option<Instant>,
-    /// Since when nothing is owed.
+    /// When the last reply was written completely.
     idle_since: Instant,
-    /// When it will have rested; `None` once it has.
+    /// When the connection will have been idle for `MIN_IDLE_TIME`; `None` once that was handled.
     evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
@@ -293,7 +301,8 @@
     async fn run(&mut self) -> SessionEnd {
         let mut phase = self.context.phase.clone();
         let memory = self.context.memory.clone();
-        // Until the machine has been asked: a client may have left while it waited to be accepted.
+        // Lets the runtime poll the kernel first: the client may have disconnected while it waited to be
+        // accepted.
         tokio::task::yield_now().await;
         loop {
             self.take_commands().await;
@@ -334,22 +343,24 @@
                 && self.pending_replies.len() < self.pipeline_limit()
                 && self.pending_write.is_none();
             if !accepts_commands && self.command_deadline.is_some() {
-                // While others wait ahead of it the rest of a command is not waited for.
+                // The time limit of an incomplete command does not run while earlier commands block it.
                 self.command_deadline = Some(Instant::now() + COMMAND_TIMEOUT);
             }
-            // Against commands that together are longer than the memory: the long ones wait their turn, with
-            // the client's own buffers, and those that wait too long are turned away.
+            // Commands may together be longer than the memory budget: long ones then wait for memory, with
+            // their bytes in the client's socket buffers, and are refused if they wait for too long.
             let lacks_memory = accepts_commands && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
             let has_open_request = self.pending_replies.iter().any(PendingReply::is_open);
             if self.socket.read_closed()
                 && (has_open_request || !(accepts_commands && !lacks_memory && unread))
             {
-                // Against requests that are sent on for a client that has left: it may leave while nothing is
-                // taken, and for as long as its requests wait nothing may be.
+                // Without this, requests of a client that has disconnected would be forwarded: it may
+                // disconnect while commands are not accepted, and while its requests wait in the buffer
+                // nothing may be forwarded for it.
                 return SessionEnd::Disconnected;
             }
-            // A client's end lies behind all that it has sent: what can't be kept is passed over.
+            // A disconnect is only visible after all input before it was read, so input that cannot be
+            // buffered is skipped.
             if unread
                 && !accepts_commands
                 && !self.input_abandoned
@@ -367,7 +378,7 @@
             let between_requests = !owes_reply && self.input.is_empty() && !unread;
             let requested_eviction = self.client_slot.eviction_requested();
             self.input_rechecked &= requested_eviction.is_some();
-            // One that goes on to send what is no request is not waited for.
+            // A peer that keeps sending commands that are not requests is not waited for.
             let sends_no_requests = |eviction: &Eviction| {
                 *eviction == Eviction::Unclassified && self.first_reply_index > MAX_PIPELINE_LENGTH as u64
             };
@@ -375,7 +386,7 @@
                 requested_eviction.filter(|eviction| lacks_memory || !unread || sends_no_requests(eviction))
             {
                 match eviction {
-                    // Against a request that the machine has and the runtime has not told of yet.
+                    // The kernel may hold a request that the runtime has not reported yet.
                     _ if accepts_commands
                         && !lacks_memory
                         && !std::mem::replace(&mut self.input_rechecked, true) =>
@@ -389,8 +400,9 @@
                     }
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
                     _ if owes_reply => return SessionEnd::Disconnected,
-                    // Against a request that is lost because it crosses the close: what is under way finds its
-                    // answer there. It is refused, as it is never read.
+                    // A request that crosses the close on the network would be lost without a reply. The
+                    // refusal is sent first, so that the client finds an answer; the request itself is never
+                    // read.
                     Eviction::Unclassified | Eviction::NewlyAccepted => {
                         self.input_abandoned = true;
                         self.queue_reply(BUSY_REPLY);
@@ -448,8 +460,8 @@
                     self.client_slot.evict_surplus_idle();
                 }
                 () = sleep_until_deadline(command_deadline), if command_deadline.is_some() => {
-                    // Against clients that say nothing or leave a command half said: they hold a place that
-                    // others want. What was whole before is still answered.
+                    // Clients that send nothing, or never complete a command, would hold a slot that others
+                    // need. Commands that were complete before are still answered.
                     self.input_abandoned = true;
                     self.queue_reply("-ERR no whole command in time\r\n");
                 }
@@ -462,7 +474,7 @@
         }
     }
 
-    /// How many requests may be open at once. Against a client that takes no answers: it must not hold the
+    /// Maximum number of pending replies. Prevents a client that does not read its replies from holding
     /// memory that others need.
     fn pipeline_limit(&self) -> usize {
         match self.longest_reply_bytes {
@@ -474,7 +486,8 @@
         }
     }
 
-    /// Takes the commands that are whole. The limit on one that is not runs from its first byte.
+    /// Handles the complete commands in the buffer. The time limit of an incomplete one starts when this
+    /// finds it.
     async fn take_commands(&mut self) {
         while !self.input_abandoned
             && self.pending_replies.len() < self.pipeline_limit()
@@ -486,7 +499,7 @@
                     self.command_deadline = None;
                     self.handle_command(words, received_at).await;
                 }
-                // Forced by memory: there was no room for them, and they were never sent.
+                // There was no memory for these commands, and they were never forwarded.
                 BufferItem::Skipped(skipped) => {
                     self.command_deadline = None;
                     match self.pending_replies.back_mut() {
@@ -507,7 +520,7 @@
         }
     }
 
-    /// The answer whose turn it is.
+    /// Removes and returns the next reply to write, if the first pending one is ready.
     fn next_reply(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
         let reply = match self.pending_replies.front_mut()? {
             PendingReply::Open { .. } => return None,
@@ -545,32 +558,35 @@
             _ => Err("unknown command"),
         };
         match command {
-            // Forced by the input: the module can't be told of a request that names none of its classes.
+            // The decision module cannot be given a request without a valid class.
             Err(error) => self.queue_reply(format!("-ERR {error}\r\n")),
             Ok(command) => {
-                // Forced by a full table of sockets: refused, as it was never sent. The connection may stay until
-                // another wants its place, since a client that loses it comes again on a new one.
+                // All connection slots are taken, so the request is refused and was never forwarded. The
+                // connection stays open until its slot is needed, because a client that loses its connection
+                // opens a new one.
                 if !self.client_slot.begin_request() {
                     return self.queue_reply(BUSY_REPLY);
                 }
-                // Against work for nobody: there is no one to answer.
+                // The client has closed its side, so nobody would read the reply.
                 if self.socket.read_closed() {
                     return self.queue_reply(BUSY_REPLY);
                 }
-                // Forced by the end of the process: on a connection that always has a request open there is no
-                // moment to close it in, and what is taken now could be unanswered when the platform kills the
-                // node. Refused, as it was never sent; another node takes it.
+                // The node is shutting down. On a connection that always has an open request there is no
+                // moment between requests at which to close it, and a request that is accepted now could
+                // still be unanswered when the platform kills the node. It was never forwarded, so the client
+                // can send it to another node.
                 if *self.context.phase.borrow() == Phase::Draining {
                     return self.queue_reply(BUSY_REPLY);
                 }
                 let Some(id) = OpenRequestId::claim(&command.id, &self.context.open_ids) else {
                     return self.queue_reply("-ERR a request with this id is open\r\n");
                 };
-                // Forced by memory: a request that finds the table full is turned away, and was never sent.
+                // The limit of open requests or the memory budget is exhausted, so the request is refused and
+                // was never forwarded.
                 let value = command.value.as_ref().map_or(0, Bytes::len);
                 let Some((permit, reservation)) =
                     self.context.request_permits.clone().try_acquire_owned().ok().zip(
-                        // The value, and the same on its way to the origin.
+                        // The value, and its copy that is sent to the origin.
                         self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value),
                     )
                 else {
@@ -595,7 +611,7 @@
     }
 }
 
-/// Whether a read shows that the client has left.
+/// Whether the result of a read shows that the client has disconnected.
 fn closed_by_client(read: io::Result<usize>) -> bool {
     match read {
         Ok(count) => count == 0,
@@ -603,7 +619,7 @@
     }
 }
 
-/// Waits until a point in time; for ever where there is none.
+/// Waits until a deadline, or forever without one.
 async fn sleep_until_deadline(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
@@ -611,13 +627,13 @@
     }
 }
 
-/// Reads a command's words. Against requests that mean nothing, or one thing here and another at a server:
-/// each fact stands there once, and those that are known can be read.
+/// Parses the words of a command. Each fact may occur only once, and the known facts must be valid. This
+/// rejects requests without a meaning, and those that the node and a server could read differently.
 fn parse_command(words: &[Bytes], write: bool, deployment: &Deployment) -> Result<Command, &'static str> {
     if words.len() != if write { 5 } else { 4 } {
         return Err("wrong number of arguments");
     }
-    // What goes on to a server must not break its framing there.
+    // These words are forwarded to servers and must not break the framing there.
     let is_valid_word = |word: &Bytes| {
         !word.is_empty() && word.len() <= MAX_WORD_BYTES && word.iter().all(u8::is_ascii_graphic)
     };
@@ -664,14 +680,14 @@
     if wait_ms > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
         return Err("invalid d");
     }
-    // Nobody waits for longer than the class allows for, whatever is said.
+    // The deadline of the class limits the time left, whatever the client states.
     command.time_left = ((wait_ms * 1e3) as Micros).min(class.deadline);
     command.value = words.get(4).cloned();
     command.facts = facts;
     Ok(command)
 }
 
-/// A plain decimal number: no sign, no exponent, no word such as `nan`.
+/// Parses a plain decimal number: no sign, no exponent, no word such as `nan`.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|number: &f64| is_plain && text.len() <= 16 && number.is_finite())
