--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -1,4 +1,4 @@
-//! What is said to cache servers and what their answers mean.
+//! Encoding of requests to cache servers and decoding of their replies (RESP2).
 
 use bytes::{Bytes, BytesMut};
 use pondproxy::{CacheLookup, LoadReport, Status};
@@ -7,7 +7,7 @@
 use crate::resp::{self, Value};
 use crate::upstream_pool::{MalformedReply, ServerReply};
 
-/// What a client said of its request as it goes on to a server: all unchanged but `d`, the time left now.
+/// Returns the client's facts as they are forwarded: unchanged except for `d`, the time left now.
 pub fn forwarded_facts(command: &Command, left_ms: u64) -> String {
     let facts = command.facts.split(',').map(|fact| match fact.split_once('=') {
         Some(("d", _)) => format!("d={left_ms}"),
@@ -16,7 +16,7 @@
     facts.collect::<Vec<_>>().join(",")
 }
 
-/// The command of a client as it goes on to a cache server.
+/// Encodes a client's command for a cache server.
 pub fn encode(command: &Command, left_ms: u64) -> Bytes {
     let facts = forwarded_facts(command, left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
@@ -26,8 +26,8 @@
     }
 }
 
-/// Takes an answer off the front of what a connection brought; `None` while it is not all there. Against
-/// spoilt answers passed on: whatever is not just as the protocol has it is broken.
+/// Removes a complete reply from the front of a connection's input; `None` while it is incomplete. Every
+/// deviation from the protocol is an error, so that no malformed reply is passed on to a client.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
@@ -50,7 +50,7 @@
             else {
                 return Err(MalformedReply);
             };
-            // A report or a word that can't be read tells nothing, and the answer is good all the same.
+            // A load report or lookup that cannot be parsed counts as not reported; the reply is still valid.
             let text = |text: &Option<Bytes>| {
                 text.as_ref().and_then(|t| std::str::from_utf8(t).ok()).unwrap_or("").to_owned()
             };
@@ -70,12 +70,12 @@
             let last_word = line.rsplit(' ').next().unwrap_or("");
             ServerReply { load: parse_load_report(last_word, load_names), ..reply(status) }
         }
-        // Nothing of the protocol: what this connection brings next can't be matched to anything.
+        // Not part of the protocol: no later input of this connection can be matched to a request.
         _ => return Err(MalformedReply),
     }))
 }
 
-/// How a read went, in a server's words.
+/// Parses a server's word for the result of a lookup.
 pub fn parse_lookup(word: &str) -> CacheLookup {
     match word {
         "hit" => CacheLookup::Hit,
@@ -85,13 +85,13 @@
     }
 }
 
-/// A load report in a server's words: names and values, put in the order that the settings name them.
+/// Parses a load report: `name=value` pairs, put in the order of the names in the settings.
 pub fn parse_load_report(text: &str, field_names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (slot, name) in field_names.iter().take(load.values.len()).enumerate() {
         let pair = text.split(',').filter_map(|pair| pair.split_once('='));
         let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
-        // Against reports that parse and tell nothing: not a number, endless or negative.
+        // A value that is missing, not a number, infinite or negative makes the whole report unusable.
         let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
             return LoadReport::default();
         };
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -36,12 +36,12 @@
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Time after its first byte within which a command must be complete.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time within which a reply must be written completely, from the start of its first write.
+/// Time within which a reply must be written completely, counted from when it is the next one to write.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time without an open request after which a connection is closed even if nobody needs its slot.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Maximum time for which input is read and discarded after the last reply of a connection that the node closes
-/// because of an error.
+/// Maximum time for which input is read and discarded after the last reply of a connection that the node
+/// closes because of an error.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum number of bytes that are read and discarded in that time.
 const LINGER_MAX_BYTES: usize = 256 * 1024;
@@ -279,7 +279,7 @@
     pending_write: Option<PendingWrite>,
     /// Replies in the order of their commands.
     pending_replies: VecDeque<PendingReply>,
-    /// Index of the first pending reply; the number of replies that were taken for writing before it.
+    /// Index of the first pending reply; 0 until a reply has been taken for writing.
     first_reply_index: u64,
     /// No more commands are accepted: the framing of the input is lost, a time limit has passed, or the
     /// connection was refused on eviction.
--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -1,7 +1,8 @@
-//! A client's socket, whose end is noticed also while nothing is read from it.
+//! A client's socket, on which a disconnect is noticed even while its input is not read.
 //!
-//! tokio tells of input until it has been read, so that nobody can wait for the end of a connection whose input
-//! is left with the machine. Here each piece of news is taken once, and what is still to be read is kept in mind.
+//! tokio reports a socket as readable until its input has been read, so nobody can wait for the disconnect of
+//! a client whose input is left in the kernel. Here each readiness event is consumed once, and a flag records
+//! that input may be unread.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -18,31 +19,32 @@
 
 use crate::stream_io::{self, PeekResult};
 
-/// Input is read in pieces of this size; a command that is longer has to wait for memory.
+/// Size of one read of input. A longer command has to wait for memory.
 pub const READ_CHUNK_BYTES: usize = 4096;
-/// Input that is not kept is read in pieces of this size.
+/// Size of one read of input that is discarded.
 const DISCARD_CHUNK_BYTES: usize = 64 * 1024;
 
-/// An attempt waits for so long at the most for the rest of its client's input to be read: the client's end may
-/// lie behind it, and the machine tells of that end only once it has room for all that is ahead of it.
+/// Maximum time for which an attempt waits until its client's input has been read. The client's disconnect
+/// may follow that input, and the kernel reports it only once it has buffer space for all input before it.
 const MAX_UNREAD_INPUT_WAIT: Duration = Duration::from_millis(50);
 
 /// A client's socket.
 pub struct ClientSocket {
     stream: Arc<TcpStream>,
-    /// There may be input that was not read.
+    /// Whether there may be unread input.
     unread: bool,
-    /// The client sends no more, behind what may still be unread, or has reset the connection.
+    /// Whether the client was seen to have closed its sending side, possibly behind unread input, or to have
+    /// reset the connection.
     read_close_seen: bool,
 }
 
 impl ClientSocket {
-    /// The socket of a connection of which nothing has been read.
+    /// Wraps a connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
         ClientSocket { stream: Arc::new(stream), unread: true, read_close_seen: false }
     }
 
-    /// Lets others look whether the client is still there.
+    /// Returns a handle that tells whether the client is still connected.
     pub fn liveness(&self) -> ClientLiveness {
         ClientLiveness(Arc::downgrade(&self.stream))
     }
@@ -52,17 +54,17 @@
         self.unread
     }
 
-    /// There may be input of which no news has come yet.
+    /// Records that there may be input that the runtime has not reported yet.
     pub fn assume_unread(&mut self) {
         self.unread = true;
     }
 
-    /// Whether the client has closed the connection or its half of it.
+    /// Whether the client has closed the connection or its sending side.
     pub fn read_closed(&self) -> bool {
         self.read_close_seen || readiness_shows_close(&self.stream)
     }
 
-    /// Waits until something has come in, the client has closed or, if that is asked, something can be written.
+    /// Waits until input arrives, the client closes or, with `to_write`, something can be written.
     pub async fn wait_ready(&mut self, to_write: bool) -> io::Result<()> {
         let interest = match (self.read_close_seen, to_write) {
             (false, false) => Interest::READABLE,
@@ -72,7 +74,8 @@
         };
         let ready = self.stream.ready(interest).await?;
         if ready.is_readable() {
-            // Taken: from here on only what comes later is news. What has ended stays so.
+            // Consumes the readiness, so that only later events count as new. A closed sending side stays
+            // closed.
             let consume_readiness = || Err::<(), _>(ErrorKind::WouldBlock.into());
             let _ = self.stream.try_io(Interest::READABLE, consume_readiness);
             (self.unread, self.read_close_seen) = (true, ready.is_read_closed());
@@ -80,20 +83,21 @@
         Ok(())
     }
 
-    /// Reads a piece of what is there; nothing at the end of the input.
+    /// Reads a chunk of the available input; returns 0 at its end.
     pub fn read(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
         self.read_into(&mut [0; READ_CHUNK_BYTES], take)
     }
 
-    /// Reads a long piece that is not kept.
+    /// Reads a longer chunk of input that the caller does not keep.
     pub fn read_discarded(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
         self.read_into(&mut [0; DISCARD_CHUNK_BYTES], take)
     }
 
     fn read_into(&mut self, chunk: &mut [u8], take: impl FnOnce(&[u8])) -> io::Result<usize> {
-        // Not through tokio, which takes it that what was told once has been read.
+        // Does not read through tokio, because the readiness was consumed and tokio would report that nothing
+        // can be read.
         let read = stream_io::read_now(&self.stream, chunk);
-        // Less than was asked for need not be all there was: urgent data or a signal can end a read early.
+        // A short read does not show that no input is left: urgent data or a signal can end a read early.
         self.unread = match &read {
             Ok(count) => {
                 self.read_closed()
@@ -106,13 +110,13 @@
         read
     }
 
-    /// Writes what there is room for.
+    /// Writes as much as the socket's send buffer takes now.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         self.stream.try_io(Interest::WRITABLE, || stream_io::write_now(&self.stream, bytes))
     }
 
-    /// Reads on for a moment, and so much, after the last answer: a close with input unread would reset the
-    /// connection and could take the answer away from the client.
+    /// Closes the sending side and then discards input for a limited time and number of bytes. Closing with
+    /// unread input would reset the connection, and the client could lose its last reply.
     pub async fn lingering_close(&mut self, max_time: Duration, max_bytes: usize) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
         let read_remaining = async {
@@ -135,39 +139,40 @@
     }
 }
 
-/// Whether the runtime has been told of the end of a connection, when it last asked the machine.
+/// Whether the runtime's last poll of the kernel reported the end of a connection's input.
 fn readiness_shows_close(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE));
     let poll = ready.poll(&mut Context::from_waker(Waker::noop()));
     matches!(poll, Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
-/// Whether a client is still there, for those who are about to do something for it: its connection's task may
-/// be told later than the machine.
+/// Tells whether a client is still connected, for tasks that are about to do work for it. The task of its
+/// connection may learn of a disconnect later than the kernel.
 #[derive(Clone, Debug)]
 pub struct ClientLiveness(Weak<TcpStream>);
 
 impl ClientLiveness {
     fn peek(&self) -> PeekResult {
-        // A connection that has ended with a request open has lost its client.
+        // A connection that was closed while a request was open has lost its client.
         let Some(stream) = self.0.upgrade() else { return PeekResult::Closed };
-        // An end behind unread input is in what the runtime has last heard of the machine ...
+        // A disconnect behind unread input is known from the runtime's last poll of the kernel.
         if readiness_shows_close(&stream) {
             return PeekResult::Closed;
         }
-        // ... and one behind nothing in what it says now.
+        // A disconnect without unread input before it is known from the kernel itself.
         stream_io::peek(&stream)
     }
 
-    /// Whether the client is known to have gone.
+    /// Whether the client is known to have disconnected.
     pub fn disconnected(&self) -> bool {
         self.peek() == PeekResult::Closed
     }
 
-    /// Whether the client has gone, once its input has been read, or after a moment.
+    /// Whether the client has disconnected; waits until its input has been read, for at most
+    /// `MAX_UNREAD_INPUT_WAIT`.
     pub async fn disconnected_after_unread_input(&self) -> bool {
         let deadline = Instant::now() + MAX_UNREAD_INPUT_WAIT;
-        // At first only until all that is ready has run, and the machine has been asked.
+        // The first wait only lets all ready tasks run and the runtime poll the kernel.
         let mut pause = Duration::ZERO;
         loop {
             match self.peek() {
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -1,6 +1,8 @@
-//! What a client has sent and the node has not taken yet: kept with the time at which it was read, within
-//! bounds and the node's memory. What comes behind that is passed over and only counted, so that the input is
-//! read on to its end however much there is. It knows nothing of sockets or answers.
+//! Buffer for the commands that a client has sent and the session has not handled yet.
+//!
+//! Input is kept with the time at which it was read, within a limit and the node's memory budget. Input
+//! beyond that is skipped and only its commands are counted, so that a connection can be read to its end
+//! however much a client sends. The buffer knows nothing of sockets or replies.
 
 use std::collections::VecDeque;
 use std::mem::{size_of, take};
@@ -12,42 +14,42 @@
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp::{self, CommandSkipper, ProtocolError};
 
-/// So much is kept of commands that wait for others, in bytes: the longest there is, or some hundred short ones.
+/// Limit on buffered commands that wait for earlier ones: the longest command, or some hundred short ones.
 const MAX_BUFFERED_BYTES: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
-/// Position of the end of a piece in the input, and when the piece was read.
+/// End position of a chunk in the input, and the time at which the chunk was read.
 struct ChunkEnd {
     position: u64,
     received_at: Micros,
 }
 
-/// What is next in the input.
+/// The next item of the input.
 #[derive(Debug, PartialEq)]
 pub enum BufferItem {
-    /// A whole command, and when its last byte was read.
+    /// A complete command, and the time at which its last byte was read.
     Command(Vec<Bytes>, Micros),
-    /// So many commands that were passed over.
+    /// Number of commands that were skipped.
     Skipped(u64),
-    /// The framing is lost.
+    /// The input is malformed, so the framing of all that follows is lost.
     Malformed(&'static str),
 }
 
-/// A client's input.
+/// The buffered input of a client.
 pub struct CommandBuffer {
     memory: MemoryBudget,
     bytes: BytesMut,
     chunk_ends: VecDeque<ChunkEnd>,
-    /// Position of the first byte that is kept.
+    /// Position in the input of the first buffered byte.
     start_position: u64,
-    /// Memory, and for how many bytes.
+    /// Reserved memory, and how many bytes it allows to be buffered.
     reservations: Vec<MemoryReservation>,
     reserved_bytes: usize,
-    /// Passes over what comes behind; then whole commands only are kept.
+    /// Skips new input. While set, `bytes` holds only complete commands.
     skipper: Option<CommandSkipper>,
     protocol_error: Option<ProtocolError>,
 }
 
 impl CommandBuffer {
-    /// The input of a client that has said nothing.
+    /// Creates an empty buffer.
     pub fn new(memory: MemoryBudget) -> Self {
         let (bytes, chunk_ends, reservations) = (BytesMut::new(), VecDeque::new(), Vec::new());
         CommandBuffer {
@@ -62,33 +64,33 @@
         }
     }
 
-    /// Whether all that came was taken.
+    /// Whether all input was handled.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty() && self.skipper.is_none()
     }
 
-    /// Whether something has begun that is not taken.
+    /// Whether a command has begun that is not handled.
     pub fn has_partial_command(&self) -> bool {
         !self.bytes.is_empty() || self.skipper.as_ref().is_some_and(CommandSkipper::has_partial_command)
     }
 
-    /// Whether what comes is passed over.
+    /// Whether new input is skipped.
     pub fn is_skipping(&self) -> bool {
         self.skipper.is_some()
     }
 
-    /// Whether more can be kept only with more memory.
+    /// Whether more memory is needed to buffer more input.
     pub fn is_full(&self) -> bool {
         self.bytes.len() + self.chunk_ends.len() * size_of::<ChunkEnd>() >= self.reserved_bytes
     }
 
-    /// Keeps more with this memory.
+    /// Adds reserved memory for `bytes` more bytes.
     pub fn add_reservation(&mut self, reservation: MemoryReservation, bytes: usize) {
         self.reservations.push(reservation);
         self.reserved_bytes += bytes;
     }
 
-    /// Finds room for commands that wait for others, if there is any.
+    /// Reserves memory for commands that wait for earlier ones; returns whether there is room.
     pub fn try_grow(&mut self) -> bool {
         while self.is_full() && self.reserved_bytes < MAX_BUFFERED_BYTES {
             let Some(reservation) = self.memory.try_reserve_pipelined(READ_CHUNK_BYTES) else { return false };
@@ -97,10 +99,10 @@
         !self.is_full()
     }
 
-    /// Adds a piece.
+    /// Adds a chunk of input that was read at `now`.
     pub fn add(&mut self, chunk: &[u8], now: Micros) {
         if let Some(skipper) = &mut self.skipper {
-            // Behind what is malformed nothing has a meaning.
+            // Input after malformed input has no meaning.
             if self.protocol_error.is_none() {
                 self.protocol_error = skipper.skip(chunk).err();
             }
@@ -111,20 +113,20 @@
         }
     }
 
-    /// Passes over all but the commands that are whole, until these are taken.
+    /// Skips all input except the buffered complete commands, until these are handled.
     pub fn start_skipping(&mut self) {
         let mut skipper = CommandSkipper::default();
-        // What is malformed is found again in its turn.
+        // Malformed input stays in the buffer and is reported by `next` in order.
         let complete_bytes = skipper.skip(&self.bytes).unwrap_or(self.bytes.len());
         self.bytes.truncate(complete_bytes);
         skipper.skipped_commands = 0;
         self.skipper = Some(skipper);
     }
 
-    /// Takes what is next, once it is whole.
+    /// Removes and returns the next item, if it is complete.
     pub fn next(&mut self) -> Option<BufferItem> {
         if self.bytes.is_empty() {
-            // The room that it took is given back.
+            // Releases the reserved memory.
             (self.bytes, self.chunk_ends, self.reservations, self.reserved_bytes) =
                 (BytesMut::new(), VecDeque::new(), Vec::new(), READ_CHUNK_BYTES);
             let skipper = self.skipper.as_mut()?;
@@ -147,7 +149,7 @@
                 Some(BufferItem::Command(words, received_at))
             }
             Ok(None) => {
-                // The time of a command is that of its last byte, which is still to come.
+                // A command takes the time of its last byte, which has not arrived yet.
                 self.chunk_ends.clear();
                 None
             }
--- a/src/bin/pondproxy-node/command_buffer/tests.rs
+++ b/src/bin/pondproxy-node/command_buffer/tests.rs
@@ -1,4 +1,4 @@
-//! What is kept, what is passed over, and what it takes of the memory.
+//! Tests of what is buffered, what is skipped, and how much memory it takes.
 
 use super::*;
 
@@ -33,7 +33,7 @@
 fn commands_beyond_the_buffer_are_counted_in_order_and_later_commands_are_buffered_again() {
     let mut input = CommandBuffer::new(MemoryBudget::new(32));
     let all = encode_pings(0, 100);
-    // The last that is kept is cut: it is passed over as a whole.
+    // The last buffered command is incomplete, so it is skipped as a whole.
     let cut = all.len() / 100 * 50 + 3;
     input.add(&all[..cut], 1);
     input.start_skipping();
@@ -81,9 +81,9 @@
     };
     let limit = memory.total_bytes() / 4 + inputs.len() * 2 * READ_CHUNK_BYTES;
     assert!(fill_and_sum(&mut inputs) <= limit);
-    assert!(memory.try_reserve(memory.total_bytes() / 2).is_some(), "the rest is there for others");
+    assert!(memory.try_reserve(memory.total_bytes() / 2).is_some(), "the rest stays available to others");
     for input in &mut inputs {
         while input.next().is_some() {}
     }
-    assert!(memory.try_reserve(memory.total_bytes()).is_some(), "all of it was given back");
+    assert!(memory.try_reserve(memory.total_bytes()).is_some(), "all of it was released");
 }
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -1,4 +1,4 @@
-//! What is said to the origin, in HTTP/1.1, and what its answers mean.
+//! Encoding of requests to the origin and decoding of its responses (HTTP/1.1).
 
 use bytes::{BufMut, Bytes, BytesMut};
 use pondproxy::Status;
@@ -8,11 +8,11 @@
 use crate::http::{self, ChunkedDecoder};
 use crate::upstream_pool::{MalformedReply, ServerReply};
 
-/// Interim answers (1xx) ahead of the final one, at most.
+/// Maximum number of interim responses (1xx) before the final one.
 const MAX_INTERIM: usize = 8;
 
-/// The request for a client's command. Like a cache server the origin is told of the time that is left now: a fetch
-/// follows a miss, or has waited in the gate.
+/// Encodes a client's command for the origin. Like a cache server the origin is told the time that is left
+/// now, because a fetch follows a cache miss or has waited at the gate.
 pub fn encode(command: &Command, left_ms: u64, host: &str) -> Bytes {
     let mut request = BytesMut::with_capacity(512);
     request.put_slice(if command.write { b"PUT /" } else { b"GET /" });
@@ -31,14 +31,14 @@
     request.freeze()
 }
 
-/// Takes an answer off the front of what a connection brought; `None` while it is not all there.
+/// Removes a complete response from the front of a connection's input; `None` while it is incomplete.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
     max_body_bytes: usize,
 ) -> Result<Option<ServerReply>, MalformedReply> {
-    // Interim answers come ahead of the final one. They stay in the buffer until that has come, so that the
-    // few that are allowed are counted anew each time: against a server that sends them without end.
+    // Interim responses stay in the buffer until the final one has arrived, so that they are counted again on
+    // each call. This stops a server that sends them without end.
     let mut interim_bytes = 0;
     let mut allowed_heads = 0..=MAX_INTERIM;
     let head = loop {
@@ -49,7 +49,7 @@
         match head.status {
             100 | 102..200 => interim_bytes += head.length,
             200.. => break head,
-            // Nobody asked for another protocol, and there are no codes under 100.
+            // No request asks for another protocol (101), and there are no status codes below 100.
             _ => return Err(MalformedReply),
         }
     };
@@ -69,8 +69,8 @@
     } else {
         let length = match head.content_length {
             Some(length) if length <= max_body_bytes => length,
-            // A value that ends with its connection can't be told from one that was cut off; of an answer
-            // without one, the head tells all.
+            // A body without a stated length ends with its connection and cannot be told from a truncated
+            // one, so a value needs a length. Other responses need only their head.
             None if head.status != 200 => {
                 keep_alive = false;
                 0
--- a/src/bin/pondproxy-node/stream_io.rs
+++ b/src/bin/pondproxy-node/stream_io.rs
@@ -1,5 +1,6 @@
-//! Reads and writes that go by what the system says. The runtime takes a call that moved less than it could to mean that
-//! the socket is drained or full, and waits for news that may not come; and it takes an interrupted one for an error.
+//! Reads and writes that follow the results of the system calls. tokio takes a short read or write as a sign
+//! that the socket is drained or full, and then waits for a readiness event that may not come; it also
+//! reports an interrupted call as an error.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::mem::MaybeUninit;
@@ -9,10 +10,10 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Input is read in pieces of this size at the most.
+/// Maximum number of bytes of one read.
 const MAX_READ_BYTES: usize = 8 * 1024;
 
-/// Reads what is there, as far as a buffer has room, to its end; 0 at the end of the input.
+/// Waits for input and reads as much as fits the buffer's spare capacity; returns 0 at the end of the input.
 pub async fn read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     let read_limit = (buffer.capacity() - buffer.len()).clamp(1, MAX_READ_BYTES);
     let read_chunk = || {
@@ -24,12 +25,12 @@
     transfer(stream, Interest::READABLE, read_chunk).await
 }
 
-/// Writes as much as there is room for.
+/// Waits until the socket is writable and writes as much as its send buffer takes.
 pub async fn write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     transfer(stream, Interest::WRITABLE, || write_now(stream, bytes)).await
 }
 
-/// Writes all of it.
+/// Writes all bytes.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         let written = write(stream, bytes).await?;
@@ -41,28 +42,28 @@
     Ok(())
 }
 
-/// Reads what is there now.
+/// Reads the available input without waiting.
 pub fn read_now(stream: &TcpStream, chunk: &mut [u8]) -> io::Result<usize> {
     retry_interrupted(|| (&*SockRef::from(stream)).read(chunk))
 }
 
-/// Writes what there is room for now.
+/// Writes what the send buffer takes without waiting.
 pub fn write_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     retry_interrupted(|| (&*SockRef::from(stream)).write(bytes))
 }
 
-/// What a look at the input of a connection shows.
+/// What peeking at the unread input of a connection shows.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PeekResult {
-    /// Nothing has come that was not read.
+    /// There is no unread input.
     Empty,
-    /// Something has come; an end may lie behind it.
+    /// There is unread input; the end of the connection may follow it.
     DataAvailable,
-    /// The other side sends no more, or has reset the connection.
+    /// The peer has closed its sending side or reset the connection.
     Closed,
 }
 
-/// Looks, by the machine's word, at what was not read yet.
+/// Peeks at the unread input by asking the kernel, not the runtime.
 pub fn peek(stream: &TcpStream) -> PeekResult {
     match retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])) {
         Ok(0) => PeekResult::Closed,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Makes a call again for as long as signals interrupt it.
+/// Repeats a system call while signals interrupt it.
 fn retry_interrupted(mut call: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
     loop {
         match call() {
@@ -82,7 +83,8 @@
     }
 }
 
-/// Tries a call again until it moves something or fails. Only the system's word that it would block makes it wait.
+/// Repeats a system call until it transfers something or fails. Waits only when the kernel reports that the
+/// call would block.
 async fn transfer(
     stream: &TcpStream,
     interest: Interest,
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -1,5 +1,7 @@
-//! Connections to cache servers and the origin: one request at a time on each, since a connection answers
-//! in order and a slow answer would stall those behind it.
+//! Connections to cache servers and the origin, and the reuse of idle ones.
+//!
+//! Each connection carries one request at a time: a connection answers in order, so a slow reply would block
+//! those behind it. The pool decides neither which server gets a request nor when an attempt is given up.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,26 +23,29 @@
 use crate::stream_io::{self, PeekResult};
 use crate::{cache_protocol, http, origin_protocol, resp};
 
-/// An answer that has begun and brings nothing more for this part of the longest aim will not be whole.
+/// A reply that has begun is malformed if no more of it arrives within the longest latency target divided by
+/// this, limited to 10 to 250 ms.
 const PARTIAL_REPLY_TIMEOUT_DIVISOR: u64 = 8;
-/// The longest value that a server's answer may hold.
+/// Maximum length of the value in a server's reply.
 const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
-/// The wait for an answer to begin: the node's loop gives attempts up, by closing their connections.
+/// Time-out for the first byte of a reply. In effect unlimited, because the event loop gives attempts up by
+/// closing their connections.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3600);
-/// A connection rests for so long after an answer. Against a second copy or noise that comes a moment behind
-/// a good answer: it must be seen before the next request is written, or it would be read as its answer.
+/// Time after a reply before a connection is used again. A duplicate reply or noise may arrive shortly after
+/// a valid reply, and must be noticed before the next request is written, or it would be read as the reply to
+/// that request.
 const REUSE_DELAY_US: Micros = 15_000;
 
-/// Names a connection; never used twice.
+/// Identifies a connection to a server; never used twice.
 pub type ConnId = u64;
-/// Names an attempt: its request and its number.
+/// Identifies an attempt: its request and its number.
 pub type AttemptId = (RequestId, u16);
 
-/// What a server sent can't be understood; the connection is of no more use.
+/// A server sent a reply that cannot be parsed; its connection cannot be used further.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedReply;
 
-/// An answer of a server.
+/// A server's reply.
 #[derive(Debug, PartialEq)]
 pub struct ServerReply {
     pub status: Status,
@@ -51,29 +56,32 @@
     pub keep_alive: bool,
 }
 
-/// What a connection tells the node.
+/// What a connection's task reports to the event loop.
 #[derive(Debug)]
 pub enum ConnEvent {
-    /// It is up, and nothing has been written to it.
+    /// The connection is open, and nothing has been written to it.
     Connected,
-    /// The answer to the request that it carried.
+    /// The reply to the request that the connection carried.
     Reply(ServerReply),
-    /// Its server answered with what can't be understood: the request may have run, the server is well.
+    /// The server sent a reply that cannot be parsed. The request may have been executed, and the server is
+    /// reachable.
     Malformed,
-    /// Nothing was written to it for a client that has gone; it can carry another request.
+    /// The request was not written because its client has disconnected. The connection can carry another
+    /// request.
     NotSent,
-    /// It could not be opened or is lost; whether the last byte of its request may have been written.
+    /// The connection could not be opened or was lost; `written` tells whether the last byte of its request
+    /// may have been written.
     Failed { written: bool },
 }
 
-/// What is spoken with a server.
+/// The protocol that a server speaks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Protocol {
     Resp,
     Http,
 }
 
-/// A request to carry.
+/// A request for a connection to carry.
 struct ConnRequest {
     request: Bytes,
     client: ClientLiveness,
@@ -84,7 +92,7 @@
     address: SocketAddr,
     request_sender: mpsc::Sender<ConnRequest>,
     task: AbortHandle,
-    /// The attempt that it was opened for or carries.
+    /// The attempt that the connection was opened for or carries.
     attempt: Option<AttemptId>,
     idle_since: Micros,
     request_count: u64,
@@ -92,7 +100,7 @@
 }
 
 impl Conn {
-    /// Whether its task still takes requests.
+    /// Whether the connection's task still accepts requests.
     fn is_open(&self) -> bool {
         !self.request_sender.is_closed()
     }
@@ -100,15 +108,15 @@
 
 impl Drop for Conn {
     fn drop(&mut self) {
-        // A node gives an attempt up by closing its connection.
+        // Closing its connection is how an attempt is given up.
         self.task.abort();
     }
 }
 
-/// All connections to servers.
+/// The connections to all servers.
 pub struct UpstreamPool {
     conns: HashMap<ConnId, Conn>,
-    /// Idle connections of each server, the one used last at the end.
+    /// Idle connections of each server, the most recently used one last.
     idle: HashMap<ServerId, Vec<ConnId>>,
     next_id: ConnId,
     connection_slots: Arc<ConnectionSlots>,
@@ -119,15 +127,15 @@
 }
 
 impl UpstreamPool {
-    /// A pool of connections in slots of a table that others use too.
+    /// Creates a pool whose connections take slots of a table that client connections share.
     pub fn new(
         connection_slots: Arc<ConnectionSlots>,
         deployment: Arc<Deployment>,
         memory: MemoryBudget,
         event_sender: mpsc::Sender<NodeEvent>,
     ) -> Self {
-        // Well before the server closes it: a request written to a closed connection ends as a reset, which
-        // may have run and so may not be sent again.
+        // Idle connections are closed well before the server would close them: a request that is written to a
+        // closed connection fails with a reset. It may then have been executed, so it may not be sent again.
         let idle_limit = deployment.idle_timeout / 2;
         let (conns, idle) = (HashMap::new(), HashMap::new());
         UpstreamPool {
@@ -142,11 +150,12 @@
         }
     }
 
-    /// An idle connection to a server for an attempt, if there is one.
+    /// Returns an idle connection to a server for an attempt, if there is one.
     pub fn reuse(&mut self, server: ServerId, attempt: AttemptId, now: Micros) -> Option<ConnId> {
         loop {
             let idle = self.idle.get_mut(&server)?;
-            // In the order in which they became idle: the one used last among those that have rested.
+            // Connections are listed in the order in which they became idle: this takes the most recently
+            // used one whose `REUSE_DELAY_US` has passed.
             let conns = &self.conns;
             let reusable = |id: &ConnId| {
                 conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.is_open())
@@ -162,7 +171,7 @@
         }
     }
 
-    /// Begins to open a connection for an attempt; `false` where the table is full.
+    /// Starts to open a connection for an attempt; `None` if no connection slot is available.
     pub fn connect(
         &mut self,
         server: ServerId,
@@ -199,33 +208,34 @@
         Some(id)
     }
 
-    /// The attempt that a connection was opened for or carries; `None` also where it was given up.
+    /// Returns the attempt that a connection was opened for or carries; `None` also if the attempt was given
+    /// up.
     pub fn attempt(&self, id: ConnId) -> Option<AttemptId> {
         self.conns.get(&id)?.attempt
     }
 
-    /// Where a connection leads.
+    /// Returns the address that a connection was opened to.
     pub fn address(&self, id: ConnId) -> Option<SocketAddr> {
         Some(self.conns.get(&id)?.address)
     }
 
-    /// How many requests a connection has been given.
+    /// Returns how many requests a connection has been given.
     pub fn request_count(&self, id: ConnId) -> u64 {
         self.conns.get(&id).map_or(0, |conn| conn.request_count)
     }
 
-    /// Hands a client's request to a connection that is up; `false` if it is lost already.
+    /// Hands a client's request to an open connection; `false` if the connection is already lost.
     pub fn send_request(&mut self, id: ConnId, request: Bytes, client: ClientLiveness) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.request_count += 1;
         conn.request_sender.try_send(ConnRequest { request, client }).is_ok()
     }
 
-    /// A connection owes nothing any more and may be used again.
+    /// Returns a connection without an open request to the pool. `address` is its server's present address.
     pub fn release(&mut self, id: ConnId, address: Option<SocketAddr>, now: Micros) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if address != Some(conn.address) {
-            // The server is gone from the list or lives elsewhere now.
+            // The server was removed from the list or has moved to another address.
             return self.close(id);
         }
         (conn.attempt, conn.idle_since) = (None, now);
@@ -248,7 +258,7 @@
         }
     }
 
-    /// Closes what has been idle for long.
+    /// Closes connections that have been idle for longer than the limit.
     pub fn close_expired_idle(&mut self, now: Micros) {
         let (conns, limit) = (&mut self.conns, self.idle_limit);
         self.idle.retain(|_, ids| {
@@ -263,7 +273,7 @@
         });
     }
 
-    /// Closes the connection that has been idle for longest.
+    /// Closes the connection that has been idle for the longest time.
     pub fn close_oldest_idle(&mut self) {
         let oldest = self.idle.values().filter_map(|ids| ids.first());
         let oldest = oldest.min_by_key(|id| self.conns.get(id).map_or(0, |conn| conn.idle_since)).copied();
@@ -271,12 +281,12 @@
     }
 }
 
-/// Whether nothing has come on a connection, neither bytes nor its end, by the machine's word.
+/// Whether the kernel shows neither unread bytes nor the end of a connection.
 fn nothing_received(stream: &TcpStream) -> bool {
     stream_io::peek(stream) == PeekResult::Empty
 }
 
-/// One connection, in its task.
+/// The task that owns one connection.
 struct ConnTask {
     id: ConnId,
     protocol: Protocol,
@@ -287,9 +297,9 @@
 }
 
 impl ConnTask {
-    /// Opens the connection and carries one request after the other, until it is lost.
+    /// Opens the connection and carries requests one after the other, until the connection is lost.
     async fn run(&mut self, address: SocketAddr) -> ConnEvent {
-        // A machine that vanished answers nothing: the connect has a time-out of its own.
+        // A host that has vanished answers nothing, so connecting has its own time-out.
         let connect_timeout = Duration::from_micros(self.deployment.settings.connect_timeout.max(1_000));
         let Ok(Ok(stream)) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await else {
             return ConnEvent::Failed { written: false };
@@ -299,7 +309,8 @@
             self.deployment.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
         let partial_reply_timeout =
             Duration::from_micros((longest_target / PARTIAL_REPLY_TIMEOUT_DIVISOR).clamp(10_000, 250_000));
-        // Servers may hold values that are longer than what clients send through here: what bounds them is memory.
+        // Servers may hold longer values than clients may send through this node, so the memory budget sets
+        // the limit.
         let max_reply_bytes = (self.memory.total_bytes() / 4).min(MAX_REPLY_BYTES);
         let mut buffer = BytesMut::new();
         let mut event = ConnEvent::Connected;
@@ -309,8 +320,8 @@
             }
             buffer.reserve(2048);
             let next_request = tokio::select! {
-                // First: a connection that the server has ended is not written to, so that its request
-                // surely never ran.
+                // Polled first: nothing is written to a connection that the server has closed, so its request
+                // is known not to have been executed.
                 biased;
                 _ = stream_io::read(&stream, &mut buffer) => return ConnEvent::Failed { written: false },
                 next_request = self.request_receiver.recv() => next_request,
@@ -318,19 +329,20 @@
             let Some(ConnRequest { request, client }) = next_request else {
                 return ConnEvent::Failed { written: false };
             };
-            // Against work for nobody: since the request was chosen its client may have gone.
+            // The client may have disconnected since its request was given to this connection; servers should
+            // not work for it.
             if client.disconnected_after_unread_input().await {
                 event = ConnEvent::NotSent;
                 continue;
             }
-            // Against a request written behind an end, or behind an answer that nobody waits for, that came in
-            // the very moment: the runtime tells of what is there a little later than it is there.
+            // A close, or a reply to no open request, may have arrived that the runtime has not reported yet.
+            // The kernel is asked so that no request is written after it.
             if !nothing_received(&stream) {
                 return ConnEvent::Failed { written: false };
             }
             let mut unwritten = &request[..];
             while !unwritten.is_empty() {
-                // Nor does a request become whole that its server took a part of before its client went.
+                // A partly written request is not completed once its client has disconnected.
                 if unwritten.len() < request.len() && client.disconnected() {
                     return ConnEvent::Failed { written: false };
                 }
@@ -342,8 +354,9 @@
             drop(request);
             let mut reservation = None;
             let reply = loop {
-                // The rest of an answer comes with its beginning. Against lines and values that never end: one
-                // that stands still half told is spoilt, and its request can still go elsewhere.
+                // The rest of a reply should follow its beginning at once. Without this limit, a line or
+                // value that never ends would block its request; a reply that stalls is malformed instead,
+                // and its request can still go to another server.
                 let read_timeout = if buffer.is_empty() { FIRST_BYTE_TIMEOUT } else { partial_reply_timeout };
                 let decoded = match self.protocol {
                     Protocol::Resp => cache_protocol::decode(
@@ -362,7 +375,7 @@
                     Ok(None) => {}
                     Err(MalformedReply) => return ConnEvent::Malformed,
                 }
-                // Against long answers that together are more than the memory: they wait their turn.
+                // Long replies may together exceed the memory budget, so each waits for its reservation.
                 if buffer.len() > 4096 && reservation.is_none() {
                     let declared_length = match self.protocol {
                         Protocol::Resp => resp::declared_length(&buffer),
@@ -382,7 +395,7 @@
                     Err(_) => return ConnEvent::Malformed,
                 }
             };
-            // Bytes beyond the answer belong to no request: nothing after them could be matched.
+            // Bytes after the reply belong to no request, and nothing after them could be matched to one.
             let has_extra_bytes = !buffer.is_empty() || !nothing_received(&stream);
             let keep_alive = reply.keep_alive && !has_extra_bytes;
             buffer = BytesMut::new();
--- a/src/bin/pondproxy-node/upstream_pool/tests.rs
+++ b/src/bin/pondproxy-node/upstream_pool/tests.rs
@@ -1,4 +1,4 @@
-//! A connection to a server in the very moment in which a request is handed to it.
+//! Tests of a connection while a request is handed to it, and of the reuse of connections.
 
 use socket2::SockRef;
 use std::io::{Read, Write};
@@ -7,8 +7,9 @@
 use super::*;
 use crate::client_socket::ClientSocket;
 
-/// What becomes of a request that is handed to a connection in the very moment in which its server or its client
-/// does something, and what the server had of it: the runtime does not look at the sockets between the two.
+/// Hands a request to a connection right after its server or its client acts, and returns the connection's
+/// event and the bytes that the server received. The runtime does not poll the sockets between the action and
+/// the hand-over.
 fn hand_over_during(peer_action: fn(&mut Peer, &mut Peer)) -> (ConnEvent, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -27,7 +28,7 @@
         let mut task = tokio::spawn(async move { conn_task.run(address).await });
         assert!(matches!(event_receiver.recv().await, Some(NodeEvent::Connection(1, ConnEvent::Connected))));
         let mut server = listener.accept().unwrap().0;
-        // Until the task has nothing to do but wait.
+        // Runs the connection's task until it only waits.
         for _ in 0..10 {
             tokio::task::yield_now().await;
         }
@@ -101,7 +102,7 @@
             assert_eq!(
                 pool.reuse(7, (2, 0), answered_at + 14_999),
                 None,
-                "some milliseconds later it may come"
+                "a late duplicate reply may still arrive"
             );
             assert_eq!(pool.reuse(7, (2, 0), answered_at + 15_000), Some(id));
         }
