--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -64,7 +64,7 @@
 /// Maximum length of a key, an id and a list of facts.
 const MAX_WORD_BYTES: usize = 512;
 /// Maximum time left (`d`) that a client may state, unless its class has a longer deadline.
-const MAX_WAIT_MS: f64 = 60_000.0;
+const MAX_TIME_LEFT_MS: f64 = 60_000.0;
 
 /// State that all client connections share.
 pub struct SessionContext {
@@ -641,7 +641,7 @@
         return Err("invalid key, id or facts");
     }
     let facts = String::from_utf8_lossy(&words[3]).into_owned();
-    let (mut class, mut tenant, mut wait_ms, mut has_key) = (None, None, None, false);
+    let (mut class, mut tenant, mut time_left_ms, mut has_dedup_key) = (None, None, None, false);
     let mut command = Command { write, key: words[1].clone(), id: words[2].clone(), ..Command::default() };
     let mut seen_names: Vec<&str> = Vec::new();
     for fact in facts.split(',') {
@@ -656,8 +656,8 @@
             "t" if !deployment.tenants.is_empty() => {
                 tenant = Some(index_of(&deployment.tenants).ok_or("unknown tenant")?)
             }
-            "d" => wait_ms = Some(parse_decimal(value).ok_or("invalid d")?),
-            "k" => has_key = !value.is_empty(),
+            "d" => time_left_ms = Some(parse_decimal(value).ok_or("invalid d")?),
+            "k" => has_dedup_key = !value.is_empty(),
             "r" => {
                 command.client_retry =
                     matches!(value, "0" | "1").then_some(value == "1").ok_or("invalid r")?
@@ -673,15 +673,15 @@
     }
     command.tenant = tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
-    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !has_key {
+    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !has_dedup_key {
         return Err("no k for a keyed write");
     }
-    let wait_ms = wait_ms.ok_or("no d")?;
-    if wait_ms > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
+    let time_left_ms = time_left_ms.ok_or("no d")?;
+    if time_left_ms > MAX_TIME_LEFT_MS.max(class.deadline as f64 / 1e3) {
         return Err("invalid d");
     }
     // The deadline of the class limits the time left, whatever the client states.
-    command.time_left = ((wait_ms * 1e3) as Micros).min(class.deadline);
+    command.time_left = ((time_left_ms * 1e3) as Micros).min(class.deadline);
     command.value = words.get(4).cloned();
     command.facts = facts;
     Ok(command)
