--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -204,6 +204,7 @@
     Closed,
 }
 
+/// Serves a connection until it ends, and reports the disconnect if requests are still open.
 async fn serve_client(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
     let _ = stream.set_nodelay(true);
     let (reply_sender, reply_receiver) = mpsc::channel(MAX_PIPELINE_LENGTH + 1);
@@ -266,6 +267,7 @@
     _reservation: Option<MemoryReservation>,
 }
 
+/// The session of one connection to the node.
 struct Session {
     socket: ClientSocket,
     client_slot: ClientSlot,
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -16,6 +16,7 @@
 
 /// Limit on buffered commands that wait for earlier ones: the longest command, or some hundred short ones.
 const MAX_BUFFERED_BYTES: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
+
 /// End position of a chunk in the input, and the time at which the chunk was read.
 struct ChunkEnd {
     position: u64,
--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -53,8 +53,8 @@
     /// servers have already.
     server_headroom: usize,
     /// Number of client connections above which idle ones are evicted even if nobody waits for a slot.
-    /// Clients use at most a third of the descriptors, so a client that wants a connection may not try to
-    /// open one.
+    /// Clients use at most a third of the descriptors, so beyond that a client that needs a connection does
+    /// not try to open one, and nothing shows the node that it waits.
     idle_eviction_threshold: usize,
     table: Mutex<SlotTable>,
     slot_freed: Notify,
