--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -28,7 +28,6 @@
 /// may follow that input, and the kernel reports it only once it has buffer space for all input before it.
 const MAX_UNREAD_INPUT_WAIT: Duration = Duration::from_millis(50);
 
-/// A client's socket.
 pub struct ClientSocket {
     stream: Arc<TcpStream>,
     /// Whether there may be unread input.
--- a/src/bin/pondproxy-node/stream_io.rs
+++ b/src/bin/pondproxy-node/stream_io.rs
@@ -30,7 +30,6 @@
     transfer(stream, Interest::WRITABLE, || write_now(stream, bytes)).await
 }
 
-/// Writes all bytes.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         let written = write(stream, bytes).await?;
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -45,7 +45,6 @@
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedReply;
 
-/// A server's reply.
 #[derive(Debug, PartialEq)]
 pub struct ServerReply {
     pub status: Status,
@@ -242,7 +241,6 @@
         self.idle.entry(conn.server).or_default().push(id);
     }
 
-    /// Closes a connection.
     pub fn close(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.remove(&id)
             && let Some(idle) = self.idle.get_mut(&conn.server)
