--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -1,4 +1,7 @@
-//! The server side: the listener, clients' connections, and the commands on them.
+//! Client connections: the listener, one session for each connection, and the parsing of commands.
+//!
+//! A session reads commands, hands requests to the event loop, and writes the replies in the order of the
+//! commands. It knows nothing of servers or of how requests are routed.
 
 use std::collections::{HashSet, VecDeque};
 use std::io;
@@ -21,82 +24,97 @@
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp;
 
-/// Requests of one connection that are answered at the same time; more wait, or are refused. The first figure
-/// holds until it is known how long the answers are: together they may hold the third, as a part of the memory.
-const PIPELINE: (usize, usize, usize) = (16, 64, 16);
-/// A connection that has brought no whole command for so long after it was taken is closed. All three of
-/// these limits are points in time, which no dribbled byte moves.
-const FIRST: Duration = Duration::from_millis(2_200);
-/// A command must be whole so long after its first byte.
-const WHOLE: Duration = Duration::from_secs(2);
-/// An answer must be written so long after its turn has come.
-const WRITTEN: Duration = Duration::from_secs(4);
-/// A connection on which nothing is open goes after this long, also where nobody wants its place.
-const IDLE: Duration = Duration::from_secs(15);
-/// After an error that ends a connection, its client's input is read on for so long, and so much of it.
-const LINGER: (Duration, usize) = (Duration::from_millis(200), 256 * 1024);
-/// A long command waits for memory for so long, where others of its connection are open: behind it the client's
-/// end can't be seen.
-const LONG: Duration = Duration::from_millis(20);
-/// Between two pieces of input that is not kept. Against floods: what they cost others must be little.
-const PAUSE: Duration = Duration::from_millis(1);
-/// The pause grows by so many times what the loop is late by, where this is more than the first figure, which
-/// is how exact a timer is; up to the last. So many floods share what one may take.
-const BUSY: (Duration, u32, Duration) = (Duration::from_millis(2), 4, Duration::from_millis(20));
-/// Refused, and never sent on.
-const REFUSAL: &str = "-BUSY\r\n";
-/// Refusals that are written at once.
-const REFUSALS: u64 = 512;
-/// The longest key, id and list of facts.
-const MAX_WORD: usize = 512;
-/// The longest wait that a client may state, in milliseconds, unless its class allows for a longer one.
-const MAX_WAIT_MS: f64 = 60_000.0;
+/// Maximum number of pending replies of one connection before its first reply shows how long replies are.
+/// Further commands wait in the buffer or are refused.
+const INITIAL_PIPELINE_LENGTH: usize = 16;
+/// Maximum number of pending replies of one connection however short its replies are.
+const MAX_PIPELINE_LENGTH: usize = 64;
+/// The pending replies of one connection may take up to the node's memory budget divided by this.
+const PIPELINE_MEMORY_DIVISOR: usize = 16;
+/// Time after acceptance within which a connection must have sent a complete command, or it is closed. This
+/// limit and the next two are fixed points in time, so a client that sends single bytes does not extend them.
+const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Time after its first byte within which a command must be complete.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time within which a reply must be written completely, counted from when it is the next one to write.
+const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time without an open request after which a connection is closed even if nobody needs its slot.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum time for which input is read and discarded after the last reply of a connection that the node
+/// closes because of an error.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum number of bytes that are read and discarded in that time.
+const LINGER_MAX_BYTES: usize = 256 * 1024;
+/// Maximum time for which a long command waits for memory while other requests of its connection are open. It
+/// is short because a client's disconnect cannot be seen behind unread input.
+const LONG_COMMAND_MEMORY_WAIT: Duration = Duration::from_millis(20);
+/// Pause between two reads of input that is discarded. Limits what a flooding client costs the others.
+const DISCARD_PAUSE: Duration = Duration::from_millis(1);
+/// Precision of the runtime's timers; a discard that is late by less does not lengthen the pause.
+const TIMER_PRECISION: Duration = Duration::from_millis(2);
+/// The pause between discards grows by this many times the lateness of the last one, so that many flooding
+/// connections together take no more time than one may.
+const DISCARD_LATENESS_FACTOR: u32 = 4;
+/// Maximum pause between discards.
+const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
+/// Reply to a command that was refused and never forwarded.
+const BUSY_REPLY: &str = "-BUSY\r\n";
+/// Maximum number of busy replies that are written at once.
+const MAX_BUSY_REPLIES_PER_WRITE: u64 = 512;
+/// Maximum length of a key, an id and a list of facts.
+const MAX_WORD_BYTES: usize = 512;
+/// Maximum time left (`d`) that a client may state, unless its class has a longer deadline.
+const MAX_TIME_LEFT_MS: f64 = 60_000.0;
 
-/// What all connections of clients share.
+/// State that all client connections share.
 pub struct SessionContext {
     pub deployment: Arc<Deployment>,
     pub clock: Clock,
     pub event_sender: mpsc::Sender<NodeEvent>,
-    /// Where the node stands.
+    /// The current phase of the node.
     pub phase: watch::Receiver<Phase>,
-    /// The table of descriptors.
+    /// The table that limits the number of connections.
     pub connection_slots: Arc<ConnectionSlots>,
-    /// Requests that may still be taken; one counts until its answer is passed on.
+    /// Permits for open requests; each is held until the reply is passed on for writing.
     pub request_permits: Arc<Semaphore>,
-    /// What they and all else may hold.
+    /// The memory budget of the node.
     pub memory: MemoryBudget,
-    /// Ids of the requests that are open.
+    /// Ids of all open requests.
     pub open_ids: Arc<Mutex<HashSet<Bytes>>>,
 }
 
-/// An id while its request is open. Against a client that names another's: the second is not taken.
-struct Id(Bytes, Arc<Mutex<HashSet<Bytes>>>);
+/// Reservation of a request id while the request is open. Prevents one client from using the id of another's
+/// open request: the second request is rejected.
+struct OpenRequestId {
+    id: Bytes,
+    open_ids: Arc<Mutex<HashSet<Bytes>>>,
+}
 
-impl Id {
-    fn claim(id: &Bytes, ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<Id> {
-        let new = ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        new.then(|| Id(id.clone(), ids.clone()))
+impl OpenRequestId {
+    fn claim(id: &Bytes, open_ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenRequestId> {
+        let is_new = open_ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_new.then(|| OpenRequestId { id: id.clone(), open_ids: open_ids.clone() })
     }
 }
 
-impl Drop for Id {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
-        self.1.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.0);
+        self.open_ids.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
     }
 }
 
-/// Where the node stands.
+/// Phase of the life of a node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// It has no list of servers yet.
+    /// No list of servers has arrived yet.
     Starting,
-    /// It serves.
+    /// The node accepts requests.
     Ready,
-    /// It ends: connections are closed between requests.
+    /// The node shuts down: connections are closed between requests, and new requests are refused.
     Draining,
 }
 
-/// A command of a client.
+/// A parsed command of a client.
 #[derive(Debug, Clone, Default)]
 pub struct Command {
     pub write: bool,
@@ -113,7 +131,7 @@
 }
 
 impl Command {
-    /// The key as the module knows it, the same at every node.
+    /// Returns the key as the decision module knows it, the same on every node.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok();
         let hex = text.filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
@@ -121,21 +139,21 @@
     }
 }
 
-/// A command on its way to the node, and where its answer goes.
+/// A command on its way to the event loop, and where its reply goes.
 #[derive(Debug)]
 pub struct ClientRequest {
     pub command: Command,
     pub received_at: Micros,
     pub client: ClientId,
-    /// Whether the client is still there.
+    /// Tells whether the client is still connected.
     pub liveness: ClientLiveness,
     pub reply_index: u64,
     pub reply_sender: mpsc::Sender<ClientReply>,
-    /// What the request holds of the memory, its value and that value on its way included.
+    /// Memory for the request: its value, and the copy of the value that is sent to the origin.
     pub reservation: MemoryReservation,
 }
 
-/// An answer for one of a connection's pending replies, and what it holds of the memory.
+/// The reply to one of a connection's pending commands, and the memory that it holds.
 #[derive(Debug)]
 pub struct ClientReply {
     pub reply_index: u64,
@@ -143,7 +161,7 @@
     pub reservation: Option<MemoryReservation>,
 }
 
-/// Takes connections until the node drains, then those that the machine has already taken.
+/// Accepts connections until the node drains, and then those that the kernel has already accepted.
 pub async fn listen(listener: TcpListener, context: Arc<SessionContext>) {
     let mut phase = context.phase.clone();
     loop {
@@ -166,27 +184,30 @@
                         None => context.connection_slots.wait_for_free_slot().await,
                     }
                 };
-                tokio::spawn(serve(stream, context.clone(), client_slot));
+                tokio::spawn(serve_client(stream, context.clone(), client_slot));
             }
-            // Out of descriptors, or the client has left: neither ends the node.
+            // Either no descriptor is left or the client has disconnected; neither is a reason to stop the
+            // node.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
     context.connection_slots.set_accepting(false);
 }
 
-/// Why a connection of a client ends.
+/// Why a session ends.
 #[derive(Debug, PartialEq)]
-enum Ended {
-    /// The client has closed it, or takes nothing.
-    Gone,
-    /// The node closes it: between requests, or after input that lost its framing.
+enum SessionEnd {
+    /// The client has disconnected or does not read its replies, or the connection must close with replies
+    /// pending.
+    Disconnected,
+    /// The node closes the connection, between requests or after input that cannot be processed further.
     Closed,
 }
 
-async fn serve(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
+/// Serves a connection until it ends, and reports the disconnect if requests are still open.
+async fn serve_client(stream: TcpStream, context: Arc<SessionContext>, client_slot: ClientSlot) {
     let _ = stream.set_nodelay(true);
-    let (reply_sender, reply_receiver) = mpsc::channel(PIPELINE.1 + 1);
+    let (reply_sender, reply_receiver) = mpsc::channel(MAX_PIPELINE_LENGTH + 1);
     let now = Instant::now();
     let mut session = Session {
         socket: ClientSocket::new(stream),
@@ -194,344 +215,390 @@
         reply_sender,
         reply_receiver,
         input: CommandBuffer::new(context.memory.clone()),
-        long_by: None,
-        next_piece: now,
-        output: None,
+        memory_wait_deadline: None,
+        next_discard_at: now,
+        pending_write: None,
         pending_replies: VecDeque::new(),
-        first: 0,
-        broken: false,
-        looked: false,
-        longest: 0,
-        whole_by: Some(now + FIRST),
+        first_reply_index: 0,
+        input_abandoned: false,
+        input_rechecked: false,
+        longest_reply_bytes: 0,
+        command_deadline: Some(now + FIRST_COMMAND_TIMEOUT),
         idle_since: now,
-        rested_at: None,
+        evictable_at: None,
         context,
     };
-    let ended = session.run().await;
-    let Session { mut socket, pending_replies, broken, context, client_slot, .. } = session;
+    let session_end = session.run().await;
+    let Session { mut socket, pending_replies, input_abandoned, context, client_slot, .. } = session;
     client_slot.set_closing();
-    if ended == Ended::Closed && broken {
-        socket.lingering_close(LINGER).await;
+    if session_end == SessionEnd::Closed && input_abandoned {
+        socket.lingering_close(LINGER_TIMEOUT, LINGER_MAX_BYTES).await;
     }
-    // From here on nothing is sent on for it, also while the news of its end waits behind others.
+    // Dropping the socket ends the client's liveness: no attempt is sent for it from here on, even while the
+    // event below waits in the queue.
     drop(socket);
-    if pending_replies.iter().any(PendingReply::open) {
+    if pending_replies.iter().any(PendingReply::is_open) {
         let _ = context.event_sender.send(NodeEvent::ClientDisconnected(client_slot.id())).await;
     }
 }
 
-/// The place of one answer, or of some.
+/// The pending reply to one command, or to several that were skipped.
 enum PendingReply {
-    /// It is owed. Counts the request among those that are open, and its id.
+    /// The request is open. Holds its permit and its id.
     Open {
         #[expect(dead_code, reason = "held for its drop")]
-        counted: (OwnedSemaphorePermit, Id),
+        guards: (OwnedSemaphorePermit, OpenRequestId),
     },
     Ready(Bytes, Option<MemoryReservation>),
-    /// So many commands that were passed over.
-    Refusals(u64),
+    /// Number of skipped commands, each of which gets a busy reply.
+    BusyReplies(u64),
 }
 
 impl PendingReply {
-    fn open(&self) -> bool {
+    fn is_open(&self) -> bool {
         matches!(self, PendingReply::Open { .. })
     }
 }
 
-/// An answer that is being written.
-struct Output {
+/// A reply that is being written.
+struct PendingWrite {
     bytes: Bytes,
-    by: Instant,
+    deadline: Instant,
     _reservation: Option<MemoryReservation>,
 }
 
+/// The session of one connection to the node.
 struct Session {
     socket: ClientSocket,
     client_slot: ClientSlot,
     reply_sender: mpsc::Sender<ClientReply>,
     reply_receiver: mpsc::Receiver<ClientReply>,
     input: CommandBuffer,
-    /// Until when a long command waits for memory.
-    long_by: Option<Instant>,
-    /// When the next piece of what is not kept is read.
-    next_piece: Instant,
-    output: Option<Output>,
-    /// Answers in the order of their commands.
+    /// When a long command stops waiting for memory.
+    memory_wait_deadline: Option<Instant>,
+    /// When input that is discarded is read next.
+    next_discard_at: Instant,
+    pending_write: Option<PendingWrite>,
+    /// Replies in the order of their commands.
     pending_replies: VecDeque<PendingReply>,
-    /// Index of the first pending reply.
-    first: u64,
-    /// No more is taken: the framing of the input is lost, or a time limit has passed.
-    broken: bool,
-    /// Since it was asked for its place, it was looked whether there is more to read.
-    looked: bool,
-    /// Its longest answer so far.
-    longest: usize,
-    /// When the command that is awaited must be whole; `None` where none has begun.
-    whole_by: Option<Instant>,
-    /// Since when nothing is owed.
+    /// Index of the first pending reply; 0 until a reply has been taken for writing.
+    first_reply_index: u64,
+    /// No more commands are accepted: the framing of the input is lost, a time limit has passed, or the
+    /// connection was refused on eviction.
+    input_abandoned: bool,
+    /// Whether the socket was checked once more for input since the connection was asked to close.
+    input_rechecked: bool,
+    /// Length of the longest reply so far.
+    longest_reply_bytes: usize,
+    /// When the command that is being received must be complete; `None` if none has begun.
+    command_deadline: Option<Instant>,
+    /// When the last reply was written completely.
     idle_since: Instant,
-    /// When it will have rested; `None` once it has.
-    rested_at: Option<Instant>,
+    /// When the connection will have been idle for `MIN_IDLE_TIME`; `None` once that was handled.
+    evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
 
 impl Session {
-    async fn run(&mut self) -> Ended {
+    async fn run(&mut self) -> SessionEnd {
         let mut phase = self.context.phase.clone();
         let memory = self.context.memory.clone();
-        // Until the machine has been asked: a client may have left while it waited to be accepted.
+        // Lets the runtime poll the kernel first: the client may have disconnected while it waited to be
+        // accepted.
         tokio::task::yield_now().await;
         loop {
             self.take_commands().await;
-            if self.output.is_none()
-                && let Some((bytes, _reservation)) = self.next_answer()
+            if self.pending_write.is_none()
+                && let Some((bytes, _reservation)) = self.next_reply()
             {
-                self.output = Some(Output { bytes, by: Instant::now() + WRITTEN, _reservation });
+                self.pending_write = Some(PendingWrite {
+                    bytes,
+                    deadline: Instant::now() + REPLY_WRITE_TIMEOUT,
+                    _reservation,
+                });
             }
-            if let Some(output) = &mut self.output {
-                match self.socket.try_write(&output.bytes) {
-                    Ok(count) if count == output.bytes.len() => {
-                        self.output = None;
+            if let Some(pending_write) = &mut self.pending_write {
+                match self.socket.try_write(&pending_write.bytes) {
+                    Ok(count) if count == pending_write.bytes.len() => {
+                        self.pending_write = None;
                         self.idle_since = Instant::now();
                         if self.pending_replies.is_empty() {
                             self.client_slot.set_idle();
-                            self.rested_at = Some(Instant::now() + MIN_IDLE_TIME);
+                            self.evictable_at = Some(Instant::now() + MIN_IDLE_TIME);
                         }
                         continue;
                     }
                     Ok(count) => {
-                        let _ = output.bytes.split_to(count);
+                        let _ = pending_write.bytes.split_to(count);
                         continue;
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    Err(_) => return Ended::Gone,
+                    Err(_) => return SessionEnd::Disconnected,
                 }
             }
-            let owes = !self.pending_replies.is_empty() || self.output.is_some();
-            if !owes && self.broken {
-                return Ended::Closed;
+            let owes_reply = !self.pending_replies.is_empty() || self.pending_write.is_some();
+            if !owes_reply && self.input_abandoned {
+                return SessionEnd::Closed;
             }
             let draining = *phase.borrow() == Phase::Draining;
-            let room = !self.broken && self.pending_replies.len() < self.pipeline() && self.output.is_none();
-            if !room && self.whole_by.is_some() {
-                // While others wait ahead of it the rest of a command is not waited for.
-                self.whole_by = Some(Instant::now() + WHOLE);
+            let accepts_commands = !self.input_abandoned
+                && self.pending_replies.len() < self.pipeline_limit()
+                && self.pending_write.is_none();
+            if !accepts_commands && self.command_deadline.is_some() {
+                // The time limit of an incomplete command does not run while earlier commands block it.
+                self.command_deadline = Some(Instant::now() + COMMAND_TIMEOUT);
             }
-            // Against commands that together are longer than the memory: the long ones wait their turn, with
-            // the client's own buffers, and those that wait too long are turned away.
-            let long = room && !self.input.is_skipping() && self.input.is_full();
+            // Commands may together be longer than the memory budget: long ones then wait for memory, with
+            // their bytes in the client's socket buffers, and are refused if they wait for too long.
+            let lacks_memory = accepts_commands && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
-            let open = self.pending_replies.iter().any(PendingReply::open);
-            if self.socket.read_closed() && (open || !(room && !long && unread)) {
-                // Against requests that are sent on for a client that has left: it may leave while nothing is
-                // taken, and for as long as its requests wait nothing may be.
-                return Ended::Gone;
+            let has_open_request = self.pending_replies.iter().any(PendingReply::is_open);
+            if self.socket.read_closed()
+                && (has_open_request || !(accepts_commands && !lacks_memory && unread))
+            {
+                // Without this, requests of a client that has disconnected would be forwarded: it may
+                // disconnect while commands are not accepted, and while its requests wait in the buffer
+                // nothing may be forwarded for it.
+                return SessionEnd::Disconnected;
             }
-            // A client's end lies behind all that it has sent: what can't be kept is passed over.
-            if unread && !room && !self.broken && !self.input.is_skipping() && !self.input.try_grow() {
+            // A disconnect is only visible after all input before it was read, so input that cannot be
+            // buffered is skipped.
+            if unread
+                && !accepts_commands
+                && !self.input_abandoned
+                && !self.input.is_skipping()
+                && !self.input.try_grow()
+            {
                 self.input.start_skipping();
             }
-            let skips = self.broken || self.input.is_skipping();
-            self.long_by = (long && open).then(|| self.long_by.unwrap_or_else(|| Instant::now() + LONG));
-            let (long_by, next_piece) = (self.long_by, self.next_piece.max(Instant::now()));
-            let between = !owes && self.input.is_empty() && !unread;
-            let asked = self.client_slot.eviction_requested();
-            self.looked &= asked.is_some();
-            // One that goes on to send what is no request is not waited for.
-            let chatters =
-                |leave: &Eviction| *leave == Eviction::Unclassified && self.first > PIPELINE.1 as u64;
-            if let Some(leave) = asked.filter(|leave| long || !unread || chatters(leave)) {
-                match leave {
-                    // Against a request that the machine has and the runtime has not told of yet.
-                    _ if room && !long && !std::mem::replace(&mut self.looked, true) => {
+            let discards_input = self.input_abandoned || self.input.is_skipping();
+            self.memory_wait_deadline = (lacks_memory && has_open_request).then(|| {
+                self.memory_wait_deadline.unwrap_or_else(|| Instant::now() + LONG_COMMAND_MEMORY_WAIT)
+            });
+            let (memory_wait_deadline, next_discard_at) =
+                (self.memory_wait_deadline, self.next_discard_at.max(Instant::now()));
+            let between_requests = !owes_reply && self.input.is_empty() && !unread;
+            let requested_eviction = self.client_slot.eviction_requested();
+            self.input_rechecked &= requested_eviction.is_some();
+            // A peer that keeps sending commands that are not requests is not waited for.
+            let sends_no_requests = |eviction: &Eviction| {
+                *eviction == Eviction::Unclassified && self.first_reply_index > MAX_PIPELINE_LENGTH as u64
+            };
+            if let Some(eviction) =
+                requested_eviction.filter(|eviction| lacks_memory || !unread || sends_no_requests(eviction))
+            {
+                match eviction {
+                    // The kernel may hold a request that the runtime has not reported yet.
+                    _ if accepts_commands
+                        && !lacks_memory
+                        && !std::mem::replace(&mut self.input_rechecked, true) =>
+                    {
                         self.socket.assume_unread()
                     }
-                    Eviction::IdleClient | Eviction::Unclassified if between && self.first > 0 => {
-                        return Ended::Closed;
+                    Eviction::IdleClient | Eviction::Unclassified
+                        if between_requests && self.first_reply_index > 0 =>
+                    {
+                        return SessionEnd::Closed;
                     }
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
-                    _ if owes => return Ended::Gone,
-                    // Against a request that is lost because it crosses the close: what is under way finds its
-                    // answer there. It is refused, as it is never read.
+                    _ if owes_reply => return SessionEnd::Disconnected,
+                    // A request that crosses the close on the network would be lost without a reply. The
+                    // refusal is sent first, so that the client finds an answer; the request itself is never
+                    // read.
                     Eviction::Unclassified | Eviction::NewlyAccepted => {
-                        self.broken = true;
-                        self.answer_now(REFUSAL);
+                        self.input_abandoned = true;
+                        self.queue_reply(BUSY_REPLY);
                     }
                 }
                 continue;
             }
-            let by = self.output.as_ref().map(|output| output.by);
-            let whole_by = self.whole_by.filter(|_| room);
+            let write_deadline = self.pending_write.as_ref().map(|pending_write| pending_write.deadline);
+            let command_deadline = self.command_deadline.filter(|_| accepts_commands);
             tokio::select! {
                 biased;
-                answer = self.reply_receiver.recv() => {
-                    self.longest = answer.as_ref().map_or(0, |a| a.bytes.len()).max(self.longest);
-                    if let Some(ClientReply { reply_index, bytes, reservation }) = answer
-                        && let Some(place) =
-                            self.pending_replies.get_mut(reply_index.saturating_sub(self.first) as usize)
+                reply = self.reply_receiver.recv() => {
+                    self.longest_reply_bytes =
+                        reply.as_ref().map_or(0, |reply| reply.bytes.len()).max(self.longest_reply_bytes);
+                    if let Some(ClientReply { reply_index, bytes, reservation }) = reply
+                        && let Some(pending_reply) = self
+                            .pending_replies
+                            .get_mut(reply_index.saturating_sub(self.first_reply_index) as usize)
                     {
-                        *place = PendingReply::Ready(bytes, reservation);
+                        *pending_reply = PendingReply::Ready(bytes, reservation);
                     }
                 }
-                () = tokio::task::yield_now(), if unread && !skips && !long => {
+                () = tokio::task::yield_now(), if unread && !discards_input && !lacks_memory => {
                     let now = self.context.clock.now();
-                    if left(self.socket.read(|piece| self.input.add(piece, now))) {
-                        return Ended::Gone;
+                    if closed_by_client(self.socket.read(|chunk| self.input.add(chunk, now))) {
+                        return SessionEnd::Disconnected;
                     }
                 }
-                () = sleep_until(next_piece), if unread && skips => {
-                    let late = next_piece.elapsed().saturating_sub(BUSY.0);
-                    self.next_piece = Instant::now() + (PAUSE + BUSY.1 * late).min(BUSY.2);
-                    if left(
-                        self.socket.read_discarded(|piece| if !self.broken { self.input.add(piece, 0) })
-                    ) {
-                        return Ended::Gone;
+                () = sleep_until(next_discard_at), if unread && discards_input => {
+                    let lateness = next_discard_at.elapsed().saturating_sub(TIMER_PRECISION);
+                    self.next_discard_at = Instant::now()
+                        + (DISCARD_PAUSE + DISCARD_LATENESS_FACTOR * lateness).min(MAX_DISCARD_PAUSE);
+                    if closed_by_client(self.socket.read_discarded(
+                        |chunk| if !self.input_abandoned { self.input.add(chunk, 0) }
+                    )) {
+                        return SessionEnd::Disconnected;
                     }
                 }
-                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if long =>
+                reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if lacks_memory =>
                     self.input.add_reservation(reservation, 2 * resp::MAX_VALUE_BYTES),
-                () = until(long_by), if long_by.is_some() => self.input.start_skipping(),
-                news = self.socket.wait_ready(self.output.is_some()) => {
-                    if news.is_err() {
-                        return Ended::Gone;
+                () = sleep_until_deadline(memory_wait_deadline), if memory_wait_deadline.is_some() =>
+                    self.input.start_skipping(),
+                readiness = self.socket.wait_ready(self.pending_write.is_some()) => {
+                    if readiness.is_err() {
+                        return SessionEnd::Disconnected;
                     }
                 }
                 _ = phase.changed(), if !draining => {}
-                () = std::future::ready(()), if draining && between => return Ended::Closed,
+                () = std::future::ready(()), if draining && between_requests => return SessionEnd::Closed,
                 () = self.client_slot.wait_for_eviction_request() => {}
-                () = until(self.rested_at), if between && self.rested_at.is_some() => {
-                    self.rested_at = None;
+                () = sleep_until_deadline(self.evictable_at),
+                    if between_requests && self.evictable_at.is_some() =>
+                {
+                    self.evictable_at = None;
                     self.client_slot.evict_surplus_idle();
                 }
-                () = until(whole_by), if whole_by.is_some() => {
-                    // Against clients that say nothing or leave a command half said: they hold a place that
-                    // others want. What was whole before is still answered.
-                    self.broken = true;
-                    self.answer_now("-ERR no whole command in time\r\n");
+                () = sleep_until_deadline(command_deadline), if command_deadline.is_some() => {
+                    // Clients that send nothing, or never complete a command, would hold a slot that others
+                    // need. Commands that were complete before are still answered.
+                    self.input_abandoned = true;
+                    self.queue_reply("-ERR no whole command in time\r\n");
                 }
-                () = until(by), if by.is_some() => return Ended::Gone,
-                () = sleep_until(self.idle_since + IDLE), if between && self.first > 0 =>
-                    return Ended::Closed,
+                () = sleep_until_deadline(write_deadline), if write_deadline.is_some() =>
+                    return SessionEnd::Disconnected,
+                () = sleep_until(self.idle_since + IDLE_TIMEOUT),
+                    if between_requests && self.first_reply_index > 0 =>
+                    return SessionEnd::Closed,
             }
         }
     }
 
-    /// How many requests may be open at once. Against a client that takes no answers: it must not hold the
+    /// Maximum number of pending replies. Prevents a client that does not read its replies from holding
     /// memory that others need.
-    fn pipeline(&self) -> usize {
-        match self.longest {
-            0 => PIPELINE.0,
-            longest => (self.context.memory.total_bytes() / PIPELINE.2 / longest).clamp(1, PIPELINE.1),
+    fn pipeline_limit(&self) -> usize {
+        match self.longest_reply_bytes {
+            0 => INITIAL_PIPELINE_LENGTH,
+            longest_reply_bytes => {
+                (self.context.memory.total_bytes() / PIPELINE_MEMORY_DIVISOR / longest_reply_bytes)
+                    .clamp(1, MAX_PIPELINE_LENGTH)
+            }
         }
     }
 
-    /// Takes the commands that are whole. The limit on one that is not runs from its first byte.
+    /// Handles the complete commands in the buffer. The time limit of an incomplete one starts when this
+    /// finds it.
     async fn take_commands(&mut self) {
-        while !self.broken
-            && self.pending_replies.len() < self.pipeline()
-            && self.output.is_none()
+        while !self.input_abandoned
+            && self.pending_replies.len() < self.pipeline_limit()
+            && self.pending_write.is_none()
             && let Some(next) = self.input.next()
         {
             match next {
                 BufferItem::Command(words, received_at) => {
-                    self.whole_by = None;
-                    self.command(words, received_at).await;
+                    self.command_deadline = None;
+                    self.handle_command(words, received_at).await;
                 }
-                // Forced by memory: there was no room for them, and they were never sent.
-                BufferItem::Skipped(more) => {
-                    self.whole_by = None;
+                // There was no memory for these commands, and they were never forwarded.
+                BufferItem::Skipped(skipped) => {
+                    self.command_deadline = None;
                     match self.pending_replies.back_mut() {
-                        Some(PendingReply::Refusals(count)) => *count += more,
-                        _ => self.pending_replies.push_back(PendingReply::Refusals(more)),
+                        Some(PendingReply::BusyReplies(count)) => *count += skipped,
+                        _ => self.pending_replies.push_back(PendingReply::BusyReplies(skipped)),
                     }
                 }
-                BufferItem::Malformed(what) => {
-                    self.answer_now(format!("-ERR protocol error: {what}\r\n"));
-                    self.broken = true;
+                BufferItem::Malformed(error) => {
+                    self.queue_reply(format!("-ERR protocol error: {error}\r\n"));
+                    self.input_abandoned = true;
                 }
             }
         }
-        if self.broken {
+        if self.input_abandoned {
             self.input = CommandBuffer::new(self.context.memory.clone());
         } else if self.input.has_partial_command() {
-            self.whole_by.get_or_insert_with(|| Instant::now() + WHOLE);
+            self.command_deadline.get_or_insert_with(|| Instant::now() + COMMAND_TIMEOUT);
         }
     }
 
-    /// The answer whose turn it is.
-    fn next_answer(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
-        let answer = match self.pending_replies.front_mut()? {
+    /// Removes and returns the next reply to write, if the first pending one is ready.
+    fn next_reply(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
+        let reply = match self.pending_replies.front_mut()? {
             PendingReply::Open { .. } => return None,
             PendingReply::Ready(bytes, reservation) => (take(bytes), reservation.take()),
-            PendingReply::Refusals(count) => {
-                let some = REFUSALS.min(*count);
-                *count -= some;
-                (REFUSAL.repeat(some as usize).into(), None)
+            PendingReply::BusyReplies(count) => {
+                let batch = MAX_BUSY_REPLIES_PER_WRITE.min(*count);
+                *count -= batch;
+                (BUSY_REPLY.repeat(batch as usize).into(), None)
             }
         };
-        if !matches!(self.pending_replies.front(), Some(PendingReply::Refusals(1..))) {
+        if !matches!(self.pending_replies.front(), Some(PendingReply::BusyReplies(1..))) {
             self.pending_replies.pop_front();
-            self.first += 1;
+            self.first_reply_index += 1;
         }
-        Some(answer)
+        Some(reply)
     }
 
-    fn answer_now(&mut self, answer: impl Into<Bytes>) {
-        self.pending_replies.push_back(PendingReply::Ready(answer.into(), None));
+    fn queue_reply(&mut self, reply: impl Into<Bytes>) {
+        self.pending_replies.push_back(PendingReply::Ready(reply.into(), None));
     }
 
-    async fn command(&mut self, words: Vec<Bytes>, received_at: Micros) {
+    async fn handle_command(&mut self, words: Vec<Bytes>, received_at: Micros) {
         let name = words.first().map(|name| name.to_ascii_uppercase()).unwrap_or_default();
         let command = match name.as_slice() {
             b"PING" => {
                 let starting = *self.context.phase.borrow() == Phase::Starting;
-                return self.answer_now(if starting {
+                return self.queue_reply(if starting {
                     "-LOADING no list of servers yet\r\n"
                 } else {
                     "+PONG\r\n"
                 });
             }
-            b"OBJ.GET" => parse(&words, false, &self.context.deployment),
-            b"OBJ.SET" => parse(&words, true, &self.context.deployment),
+            b"OBJ.GET" => parse_command(&words, false, &self.context.deployment),
+            b"OBJ.SET" => parse_command(&words, true, &self.context.deployment),
             _ => Err("unknown command"),
         };
         match command {
-            // Forced by the input: the module can't be told of a request that names none of its classes.
-            Err(what) => self.answer_now(format!("-ERR {what}\r\n")),
+            // The decision module cannot be given a request without a valid class.
+            Err(error) => self.queue_reply(format!("-ERR {error}\r\n")),
             Ok(command) => {
-                // Forced by a full table of sockets: refused, as it was never sent. The connection may stay until
-                // another wants its place, since a client that loses it comes again on a new one.
+                // All connection slots are taken, so the request is refused and was never forwarded. The
+                // connection stays open until its slot is needed, because a client that loses its connection
+                // opens a new one.
                 if !self.client_slot.begin_request() {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
-                // Against work for nobody: there is no one to answer.
+                // The client has closed its side, so nobody would read the reply.
                 if self.socket.read_closed() {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
-                // Forced by the end of the process: on a connection that always has a request open there is no
-                // moment to close it in, and what is taken now could be unanswered when the platform kills the
-                // node. Refused, as it was never sent; another node takes it.
+                // The node is shutting down. On a connection that always has an open request there is no
+                // moment between requests at which to close it, and a request that is accepted now could
+                // still be unanswered when the platform kills the node. It was never forwarded, so the client
+                // can send it to another node.
                 if *self.context.phase.borrow() == Phase::Draining {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 }
-                let Some(id) = Id::claim(&command.id, &self.context.open_ids) else {
-                    return self.answer_now("-ERR a request with this id is open\r\n");
+                let Some(id) = OpenRequestId::claim(&command.id, &self.context.open_ids) else {
+                    return self.queue_reply("-ERR a request with this id is open\r\n");
                 };
-                // Forced by memory: a request that finds the table full is turned away, and was never sent.
+                // The limit of open requests or the memory budget is exhausted, so the request is refused and
+                // was never forwarded.
                 let value = command.value.as_ref().map_or(0, Bytes::len);
                 let Some((permit, reservation)) =
                     self.context.request_permits.clone().try_acquire_owned().ok().zip(
-                        // The value, and the same on its way to the origin.
+                        // The value, and its copy that is sent to the origin.
                         self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value),
                     )
                 else {
-                    return self.answer_now(REFUSAL);
+                    return self.queue_reply(BUSY_REPLY);
                 };
-                let reply_index = self.first + self.pending_replies.len() as u64;
-                self.pending_replies.push_back(PendingReply::Open { counted: (permit, id) });
+                let reply_index = self.first_reply_index + self.pending_replies.len() as u64;
+                self.pending_replies.push_back(PendingReply::Open { guards: (permit, id) });
                 let (client, liveness, reply_sender) =
                     (self.client_slot.id(), self.socket.liveness(), self.reply_sender.clone());
-                let asked = Box::new(ClientRequest {
+                let request = Box::new(ClientRequest {
                     command,
                     received_at,
                     client,
@@ -540,64 +607,65 @@
                     reply_sender,
                     reservation,
                 });
-                let _ = self.context.event_sender.send(NodeEvent::Request(asked)).await;
+                let _ = self.context.event_sender.send(NodeEvent::Request(request)).await;
             }
         }
     }
 }
 
-/// Whether a read shows that the client has left.
-fn left(read: io::Result<usize>) -> bool {
+/// Whether the result of a read shows that the client has disconnected.
+fn closed_by_client(read: io::Result<usize>) -> bool {
     match read {
         Ok(count) => count == 0,
         Err(e) => e.kind() != io::ErrorKind::WouldBlock,
     }
 }
 
-/// Waits until a point in time; for ever where there is none.
-async fn until(at: Option<Instant>) {
+/// Waits until a deadline, or forever without one.
+async fn sleep_until_deadline(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
     }
 }
 
-/// Reads a command's words. Against requests that mean nothing, or one thing here and another at a server:
-/// each fact stands there once, and those that are known can be read.
-fn parse(words: &[Bytes], write: bool, deployment: &Deployment) -> Result<Command, &'static str> {
+/// Parses the words of a command. Each fact may occur only once, and the known facts must be valid. This
+/// rejects requests without a meaning, and those that the node and a server could read differently.
+fn parse_command(words: &[Bytes], write: bool, deployment: &Deployment) -> Result<Command, &'static str> {
     if words.len() != if write { 5 } else { 4 } {
         return Err("wrong number of arguments");
     }
-    // What goes on to a server must not break its framing there.
-    let plain =
-        |word: &Bytes| !word.is_empty() && word.len() <= MAX_WORD && word.iter().all(u8::is_ascii_graphic);
-    if !words[1..4].iter().all(plain) {
+    // These words are forwarded to servers and must not break the framing there.
+    let is_valid_word = |word: &Bytes| {
+        !word.is_empty() && word.len() <= MAX_WORD_BYTES && word.iter().all(u8::is_ascii_graphic)
+    };
+    if !words[1..4].iter().all(is_valid_word) {
         return Err("invalid key, id or facts");
     }
     let facts = String::from_utf8_lossy(&words[3]).into_owned();
-    let (mut class, mut tenant, mut wait, mut keyed) = (None, None, None, false);
+    let (mut class, mut tenant, mut time_left_ms, mut has_dedup_key) = (None, None, None, false);
     let mut command = Command { write, key: words[1].clone(), id: words[2].clone(), ..Command::default() };
-    let mut seen: Vec<&str> = Vec::new();
+    let mut seen_names: Vec<&str> = Vec::new();
     for fact in facts.split(',') {
         let (name, value) = fact.split_once('=').ok_or("invalid facts")?;
-        if name.is_empty() || seen.contains(&name) {
+        if name.is_empty() || seen_names.contains(&name) {
             return Err("a fact without a name or given twice");
         }
-        seen.push(name);
-        let place = |names: &[String]| names.iter().position(|known| known == value);
+        seen_names.push(name);
+        let index_of = |names: &[String]| names.iter().position(|known| known == value);
         match name {
-            "c" => class = Some(place(&deployment.classes).ok_or("unknown class")?),
+            "c" => class = Some(index_of(&deployment.classes).ok_or("unknown class")?),
             "t" if !deployment.tenants.is_empty() => {
-                tenant = Some(place(&deployment.tenants).ok_or("unknown tenant")?)
+                tenant = Some(index_of(&deployment.tenants).ok_or("unknown tenant")?)
             }
-            "d" => wait = Some(number(value).ok_or("invalid d")?),
-            "k" => keyed = !value.is_empty(),
+            "d" => time_left_ms = Some(parse_decimal(value).ok_or("invalid d")?),
+            "k" => has_dedup_key = !value.is_empty(),
             "r" => {
                 command.client_retry =
                     matches!(value, "0" | "1").then_some(value == "1").ok_or("invalid r")?
             }
-            "h" => command.expected_work = Some(number(value).ok_or("invalid h")? as Micros),
-            "size" => command.value_bytes = number(value).ok_or("invalid size")? as f32,
+            "h" => command.expected_work = Some(parse_decimal(value).ok_or("invalid h")? as Micros),
+            "size" => command.value_bytes = parse_decimal(value).ok_or("invalid size")? as f32,
             _ => {}
         }
     }
@@ -607,22 +675,22 @@
     }
     command.tenant = tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
-    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !keyed {
+    if write && matches!(class.idempotency, Idempotency::Deduplicated { .. }) && !has_dedup_key {
         return Err("no k for a keyed write");
     }
-    let wait = wait.ok_or("no d")?;
-    if wait > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
+    let time_left_ms = time_left_ms.ok_or("no d")?;
+    if time_left_ms > MAX_TIME_LEFT_MS.max(class.deadline as f64 / 1e3) {
         return Err("invalid d");
     }
-    // Nobody waits for longer than the class allows for, whatever is said.
-    command.time_left = ((wait * 1e3) as Micros).min(class.deadline);
+    // The deadline of the class limits the time left, whatever the client states.
+    command.time_left = ((time_left_ms * 1e3) as Micros).min(class.deadline);
     command.value = words.get(4).cloned();
     command.facts = facts;
     Ok(command)
 }
 
-/// A plain decimal number: no sign, no exponent, no word such as `nan`.
-fn number(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    text.parse().ok().filter(|number: &f64| plain && text.len() <= 16 && number.is_finite())
+/// Parses a plain decimal number: no sign, no exponent, no word such as `nan`.
+fn parse_decimal(text: &str) -> Option<f64> {
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|number: &f64| is_plain && text.len() <= 16 && number.is_finite())
 }
