--- a/src/policy.rs
+++ b/src/policy.rs
@@ -841,7 +841,7 @@
             let duration = (server.ejection.duration * 2)
                 .clamp(min_ejection_time, self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET);
             server.ejection = Ejection { until: self.now + duration, duration };
-            actions.push(Action::Log(format!("server {server_id} fails or is silent: set aside")));
+            actions.push(Action::Log(format!("server {server_id} fails or is silent: ejected")));
         }
     }
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -559,7 +559,11 @@
 fn a_server_with_reset_connections_is_not_presumed_cold_when_it_answers_again() {
     let mut node = TestNode::new(settings(), 1);
     let mut id = 0;
-    while !node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("set aside"))) {
+    while !node
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Log(line) if line.contains("fails or is silent: ejected")))
+    {
         id += 1;
         node.request(read(id, 9));
         (0..3).for_each(|attempt| drop(node.outcome(id, attempt, 1, Status::Reset)));
@@ -794,7 +798,9 @@
         node.outcome(id, 0, victim, status);
         node.request(read(id + 1, 9));
     }
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("set aside"))));
+    assert!(
+        node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("fails or is silent: ejected")))
+    );
 }
 
 #[test]
