--- a/src/interface.rs
+++ b/src/interface.rs
@@ -271,7 +271,7 @@
             DiscoveryFailure::Unreachable => "can't be reached",
             DiscoveryFailure::Failed => "turned a call away, or the watch broke",
             DiscoveryFailure::Interrupted => {
-                "turned a call away, or the watch broke, perhaps with news on its way"
+                "turned a call away, or the watch broke, perhaps with changes on their way"
             }
             DiscoveryFailure::TimedOut => "is silent",
         }
