--- a/src/policy.rs
+++ b/src/policy.rs
@@ -300,8 +300,9 @@
         }
         candidates.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         let preferred = candidates.iter().filter(|(penalty, ..)| *penalty == (false, false)).count();
-        let replica = (unit_hash(request_id, 0, 3) * self.hot_key_replicas(key) / bound_multiple) as usize;
-        let choice = candidates.get(replica.min(preferred.saturating_sub(1)));
+        let replica_index =
+            (unit_hash(request_id, 0, 3) * self.hot_key_replicas(key) / bound_multiple) as usize;
+        let choice = candidates.get(replica_index.min(preferred.saturating_sub(1)));
         // If the chosen server is overloaded, the request is shed. Passing it to a server far down the order
         // would scatter the keys and displace the contents of the caches.
         let backlog_time = |server: &Server| {
--- a/src/state.rs
+++ b/src/state.rs
@@ -341,7 +341,7 @@
 
     /// Returns the next task that is due; if there is none, ensures that a timer is set for the first pending
     /// task.
-    pub fn pop_due(&mut self, now: Micros, out: &mut Vec<Action>) -> Option<TimerTask> {
+    pub fn pop_due(&mut self, now: Micros, actions: &mut Vec<Action>) -> Option<TimerTask> {
         let &Reverse((time, task)) = self.queue.peek()?;
         if time <= now {
             self.queue.pop();
@@ -349,7 +349,7 @@
         }
         if self.armed_for.is_none_or(|armed| time < armed) {
             self.armed_for = Some(time);
-            out.push(Action::Timer { delay: time - now, token: 0 });
+            actions.push(Action::Timer { delay: time - now, token: 0 });
         }
         None
     }
@@ -357,24 +357,24 @@
 
 /// Logs when a value falls below a threshold or reaches it again.
 pub fn log_crossing(
-    out: &mut Vec<Action>,
+    actions: &mut Vec<Action>,
     before: f64,
     after: f64,
     threshold: f64,
-    below: &str,
-    above: &str,
+    text_below: &str,
+    text_above: &str,
 ) {
     if (before < threshold) != (after < threshold) {
-        out.push(Action::Log(if after < threshold { below } else { above }.into()));
+        actions.push(Action::Log(if after < threshold { text_below } else { text_above }.into()));
     }
 }
 
-/// Returns a number between 0 and 1 that depends on a key, a server and a purpose only.
-pub fn unit_hash(key: Key, server: ServerId, purpose: u64) -> f64 {
+/// Returns a number between 0 and 1 that depends on a key, a server and a seed only.
+pub fn unit_hash(key: Key, server: ServerId, seed: u64) -> f64 {
     let mut bytes = [0u8; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&server.to_le_bytes());
-    ((xxh3_64_with_seed(&bytes, purpose) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
+    ((xxh3_64_with_seed(&bytes, seed) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
 /// Random number generator whose sequence depends on the seed only.
