--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,13 +1,13 @@
 //! Makes every decision of one balancer in front of a fleet of cache servers: where each request is sent, and
-//! when it is deferred, retried, hedged or shed. Must not know sockets, threads or the clock: each event
-//! brings its time, and the decisions leave as actions. The types of events, actions and settings are in
-//! `interface.rs`, the state is in `state.rs`.
+//! when it is deferred, retried, hedged or shed. Must not know sockets, threads or the clock: each event is
+//! passed with its time, and the decisions are returned as actions. The types of events, actions and settings
+//! are in `interface.rs`, the state is in `state.rs`.
 //!
 //! Normal path: every key has an order of servers, the same at all balancers. A read goes to the first server
 //! in that order whose load is below the load bound. After a cache miss the value is fetched from the origin;
 //! a write goes to the origin at once. Calls to the origin pass the gate, which limits the calls in flight
 //! and the calls per time window. A call that the gate blocks is deferred with a random backoff. All other
-//! code handles a failure, which is named there.
+//! code handles failures; its comments say which.
 //!
 //! The gate is modelled on a published rate-limit note: a counter of outstanding calls and a window of one
 //! second; blocked calls are queued again after a random 1 to 3 s and fail after 60 s. Here the window and
@@ -21,11 +21,11 @@
 use crate::state::*;
 use admission::{INITIAL_ADMISSION_LEVEL, MAX_ADMISSION_LEVEL};
 
-/// Load bound: a server is passed over when it has at least this multiple of its weighted share of the
-/// attempts in flight. The share is taken of this balancer's attempts and, from the load reports, of the
-/// attempts of all balancers. Applies while the origin has room for the fetch that passing over may cost.
+/// Load bound: a server is skipped when it has at least this multiple of its weighted share of the attempts
+/// in flight. This is checked for the attempts of this balancer and, by the load reports, for the attempts
+/// of all balancers. Applies while the origin has capacity for the fetch that skipping a server may cause.
 const LOAD_BOUND_MULTIPLE_OF_SHARE: f64 = 1.25;
-/// The same bound when the gate blocks calls to the origin, so that there is no room for further fetches.
+/// The same bound when the gate blocks calls to the origin, which then has no capacity for further fetches.
 const LOAD_BOUND_MULTIPLE_OF_SHARE_ORIGIN_FULL: f64 = 3.0;
 /// Least load bound of a server, in attempts in flight of all balancers. Without it, a fleet with little
 /// traffic would scatter its keys over the servers.
@@ -36,23 +36,24 @@
 /// Lifetime of a load report as a multiple of the longest latency target. The weight of a report falls
 /// linearly to 0 over its lifetime.
 const REPORT_LIFETIME_MULTIPLE_OF_LATENCY_TARGET: f64 = 4.0;
-/// Lifetime of a load report as a multiple of the time in which this balancer sends each server one request,
-/// if that is longer.
+/// Lifetime of a load report as a multiple of the mean time between two requests of this balancer to one
+/// server. Applies if it gives the longer lifetime.
 const REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL: f64 = 8.0;
 /// A server is too loaded for a request if its queue takes longer than this fraction of the time left.
 const MAX_WAIT_FRACTION_OF_TIME_LEFT: f64 = 0.5;
-/// Observations assumed before any were made. As answers of a server, they prevent a few attempts in flight
-/// at an idle server from looking like a backlog. As load reports, they show full utilization. A slow read is
-/// hedged only if its server gave fewer recent answers than this.
+/// Number of observations that stand for those not made yet. Added to the recent answers of a server, it
+/// prevents a few attempts in flight at an idle server from looking like a backlog. As a number of initial
+/// load reports, all with full utilization, it is the start value of the mean utilization. A server with
+/// fewer recent answers than this is observed too little, and a slow read there is hedged.
 const PRIOR_OBSERVATIONS: f64 = 2.0;
 /// Gate: ceiling of the limit on origin calls in flight of one balancer. The limit starts at half of this
-/// ceiling, the default of the rate-limit note.
+/// ceiling, at 10 calls, which is the default of the rate-limit note for its counter of outstanding calls.
 const GATE_CEILING_CALLS: f64 = 20.0;
-/// Gate: the ceiling is the number of calls that arrive in this fraction of the longest latency target, if
-/// that is more.
+/// Gate: if more than [`GATE_CEILING_CALLS`] requests are expected in this fraction of the longest latency
+/// target, the ceiling is their number.
 const GATE_CEILING_FRACTION_OF_LATENCY_TARGET: f64 = 0.1;
 /// Gate: time window of the call limit as a fraction of the longest latency target. It is short enough that
-/// the excess of a burst can still be deferred.
+/// calls of a burst above the limit can be deferred to a later window and still be in time.
 const GATE_WINDOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.25;
 /// Gate: fraction of both limits that fetches may use. The rest is reserved for writes.
 const GATE_FETCH_FRACTION_OF_LIMITS: f64 = 0.7;
@@ -73,27 +74,32 @@
 /// nearly late.
 const SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.4;
 /// An answer is presumed lost after this multiple of the server's response time if an attempt that was sent
-/// there later has been answered. If the server has lost many answers recently, a smaller multiple applies.
+/// there later has been answered. If many answers of the server were lost recently, a smaller multiple
+/// applies.
 const MAX_LOST_MULTIPLE_OF_RESPONSE_TIME: f64 = 6.0;
-/// Weight of one attempt in the smoothed share of answers that its server loses.
+/// Weight of one attempt in the smoothed share of its server's answers that are lost.
 const LOSS_RATE_SMOOTHING_FACTOR: f64 = 0.05;
-/// Cost of retrying a lost attempt, in attempts of the retry budget. It is below 1 because in three cases of
-/// four the answer is lost and not slow.
+/// Cost of retrying an attempt whose answer is presumed lost, in attempts of the retry budget. It is below 1
+/// because three of four such answers are lost, and only the fourth is slow.
 const LOST_RETRY_COST: f64 = 0.25;
-/// Consecutive failures without an answer between them after which a server or a zone is ejected.
+/// Number of failures after which a server is ejected; each answer since then reduces the count by one.
+/// Also the number of unanswered attempts after which a zone is ejected; an answer from the zone resets
+/// that count.
 const EJECTION_FAILURE_THRESHOLD: u32 = 3;
 /// Shortest ejection as a multiple of the longest latency target. Each further ejection without an answer in
 /// between takes twice as long as the one before.
 const MIN_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 1;
 /// Longest ejection as a multiple of the longest latency target.
 const MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET: u64 = 8;
-/// Attempts that each request adds to the budget for hedges and for retries of what may have been executed.
+/// Attempts that each request adds to the budget for hedges and for retries of attempts that may have been
+/// executed.
 const RETRY_BUDGET_ATTEMPTS_PER_REQUEST: f64 = 0.05;
 /// Largest retry budget, which limits the retries and hedges made at once.
 const MAX_RETRY_BUDGET_ATTEMPTS: f64 = 5.0;
-/// Number of recent requests at this balancer among which a key that occurs more than once is hot. It
-/// corresponds to a fraction of all requests, whatever the number of balancers. The work for a key is judged
-/// by as many requests, or by as many as there are servers if that is more.
+/// Number of recent requests at this balancer among which a key that occurs more than once is hot. To be
+/// hot, a key thus needs about the same fraction of all requests, whatever the number of balancers. A key's
+/// share of the work is taken from the same number of requests, or from as many as there are servers if
+/// that is more.
 const HOT_KEY_WINDOW_REQUESTS: usize = 64;
 
 impl Policy {
@@ -109,8 +115,8 @@
             tenant_buckets: vec![TokenBucket::default(); settings.tenants.len().max(1)],
             rng: SeededRng::new(seed),
             admission_level: INITIAL_ADMISSION_LEVEL,
-            // If every balancer keeps a connection open, keeping it costs more than it saves: whatever the
-            // traffic, the cost grows with the number of balancers, while the cost of reconnecting does not.
+            // The cost of idle connections grows with the number of balancers that keep them open, whatever
+            // the traffic. The cost of reconnecting does not, so with many balancers it is the lower one.
             close_idle_connections: f64::from(settings.balancer_count) * settings.connection_price
                 > 100.0 * settings.handshake_price,
             retry_budget: MAX_RETRY_BUDGET_ATTEMPTS,
@@ -136,8 +142,8 @@
             Event::ServerList { kind, servers } => {
                 self.apply_server_list(kind, servers);
                 if kind == ListKind::Cached {
-                    // Without a ready server the balancer cannot answer anything meanwhile, so the call is
-                    // not delayed.
+                    // Without a ready server the balancer cannot serve any request until it has a new list,
+                    // so the call is not delayed.
                     let delay = self.discovery_call_spread() * self.rng.next_unit();
                     self.schedule_discovery_call(if self.ready_servers(false).next().is_some() {
                         delay as Micros
@@ -149,7 +155,8 @@
             Event::DiscoveryMoved => self.handle_discovery_move(),
             Event::Request(request) => self.handle_request(request, actions),
             Event::Outcome(outcome) => self.handle_outcome(outcome, actions),
-            // A streamed answer is passed to the client from now on: no answer is owed and no deadline runs.
+            // The node passes a streamed answer to the client by itself, and a disconnected client waits for
+            // none. Either way the request needs no final answer and has no deadline any more.
             Event::AnswerBegan { request, .. } | Event::ClientGone(request) => {
                 drop(self.requests.remove(&request))
             }
@@ -225,8 +232,7 @@
         self.send_next_attempt(request.id, actions);
     }
 
-    /// Sends the next attempt of a request that has no attempt in flight, or ends the request if no attempt
-    /// is possible or useful.
+    /// Sends the next attempt of a request, or ends the request if no further attempt is possible or useful.
     fn send_next_attempt(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request_state) = self.requests.get(&request_id) else { return };
         if self.now >= self.useful_until(request_state)
@@ -255,11 +261,12 @@
         }
     }
 
-    // Choice of a server
+    // Server selection
 
-    /// Selects the first server in the key's order that is neither ejected nor too loaded, or one of the
-    /// first few for a hot key. If there is no such server, the first of the others is selected. Returns
-    /// `None` if no server is left or the queue at the selected one would take too long.
+    /// Selects the first server in the key's order that is neither ejected nor too loaded, or for a hot key
+    /// one of the first few such servers. If there is none, selects the first server that is only too loaded,
+    /// or else the first ejected one. Returns `None` if no server is left or the queue at the selected one
+    /// would take too long.
     fn select_server(&self, request_id: RequestId) -> Option<ServerId> {
         let request_state = &self.requests[&request_id];
         let key = if request_state.key == 0 { request_id } else { request_state.key };
@@ -277,8 +284,8 @@
         for server in self.ready_servers(false).filter(|server| {
             !request_state.tried_servers.contains(&server.entry.id) && self.slow_start_allows(key, server)
         }) {
-            // Ejected servers come last and are not left out: if most servers look bad, the cause is shared
-            // and no server is better.
+            // Ejected servers are sorted last instead of being left out: if most servers seem to fail, the
+            // cause is common to all, and the other servers are no better.
             let ejected =
                 server.ejection.until != 0 && (self.now < server.ejection.until || server.in_flight > 0);
             // Each request scales the report by its own factor between 0.5 and 1.5. Without this, all
@@ -303,8 +310,8 @@
         let replica_index =
             (unit_hash(request_id, 0, 3) * self.hot_key_replicas(key) / bound_multiple) as usize;
         let choice = candidates.get(replica_index.min(preferred.saturating_sub(1)));
-        // If the chosen server is overloaded, the request is shed. Passing it to a server far down the order
-        // would scatter the keys and displace the contents of the caches.
+        // If the chosen server is overloaded, the request is shed. A server far down the key's order would
+        // not hold the value, and storing it there would evict other values from its cache.
         let backlog_time = |server: &Server| {
             if self.admission_level < MAX_ADMISSION_LEVEL { self.backlog_time(server) } else { 0.0 }
         };
@@ -315,10 +322,10 @@
         choice.map(|(.., server_id)| *server_id).filter(|server_id| !overloaded(&self.servers[server_id]))
     }
 
-    /// Returns the number of servers that a key needs by its share of the recent work, if all servers were
-    /// equally loaded; 0 unless this balancer's traffic is sparse. Prevents the overload of one server by a
-    /// hot key: a balancer that sends each server hardly one request per latency target never has two
-    /// attempts in flight there, so its own count shows no overload.
+    /// Returns the number of servers over which the recent work for a key must be spread so that none of
+    /// them gets more than the mean; 0 unless this balancer's traffic is sparse. Prevents the overload of
+    /// one server by a hot key: a balancer that sends each server hardly one request per latency target
+    /// never has two attempts in flight there, so its own count shows no overload.
     fn hot_key_replicas(&self, key: Key) -> f64 {
         let same_key = self.recent_requests.iter().filter(|(recent, _)| *recent == key).map(|(_, work)| work);
         let (count, key_work) = (same_key.clone().count() as f64, same_key.sum::<f64>());
@@ -333,14 +340,14 @@
         }
     }
 
-    /// Estimates the requests of all balancers in progress at a server: its own attempts are known, those of
-    /// the other balancers come from the latest load report, which weighs less with age. `report_weight`
-    /// scales the report.
+    /// Estimates the requests of all balancers in progress at a server: the attempts of this balancer are
+    /// known, and those of the others come from the server's latest load report, whose weight falls with its
+    /// age. `report_weight` scales the report.
     ///
-    /// Prevents an overload that many balancers cause together: one of a hundred hardly ever has two attempts
-    /// at a server, however loaded that is, so its own count tells nothing. Such a balancer also hears from
-    /// each server so rarely that it must rely on a report for longer, else the overload would outlast the
-    /// report.
+    /// Prevents an overload that many balancers cause together: one of a hundred balancers hardly ever has
+    /// two attempts at a server, so its own count does not show how loaded the server is. Such a balancer
+    /// also gets load reports of each server so rarely that it must use each for longer; otherwise the
+    /// report would expire before the overload ends.
     fn estimated_load(&self, server: &Server, report_weight: f64) -> f64 {
         let report_lifetime = (REPORT_LIFETIME_MULTIPLE_OF_LATENCY_TARGET * self.latency_target as f64)
             .max(REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL * self.per_server_request_interval());
@@ -371,8 +378,8 @@
         if delay > 0.0 { delay * (0.5 + unit_hash(request_id, server.entry.id, 2)) } else { 0.0 }
     }
 
-    /// Returns the requests waiting per core of a server with the given number in progress. The weight stands
-    /// for the number of cores, approximately.
+    /// Returns the requests waiting per core of a server with the given number in progress. The weight is
+    /// taken as the approximate number of cores.
     fn queued_per_core(&self, server: &Server, in_progress: f64) -> f64 {
         let from_report = if self.settings.weights_are_capacities {
             in_progress / self.server_weight(server) - 1.0
@@ -383,8 +390,8 @@
     }
 
     /// Estimates the time in which a server answers the attempts that this balancer has in flight there, at
-    /// the rate of its recent answers (Little's law). [`PRIOR_OBSERVATIONS`] prevents a server that had
-    /// little to answer from looking slow.
+    /// the rate of its recent answers (Little's law). [`PRIOR_OBSERVATIONS`] prevents a server that received
+    /// few attempts from looking slow.
     fn backlog_time(&self, server: &Server) -> f64 {
         f64::from(server.in_flight) * self.latency_target as f64
             / (server.decayed_answers(self.now, self.latency_target) + PRIOR_OBSERVATIONS)
@@ -435,10 +442,11 @@
         }
     }
 
-    /// Whether the limits on calls in flight and on calls per window admit one more call, which is counted in
-    /// the ratio of blocked calls. The limit per window is at least the limit in flight: the window is hardly
-    /// longer than a call, so that a lower limit would replace the other. The part of one of many balancers
-    /// is only a call or two per window, and chance alone brings more.
+    /// Whether the limits on calls in flight and on calls per window admit one more call. Records the
+    /// result in the ratio of blocked calls. The limit per window is at least the limit on calls in flight:
+    /// the window is hardly longer than a call, so a lower limit would make the other one ineffective.
+    /// Also, the quota share of one of many balancers is only a call or two per window, which chance alone
+    /// often exceeds.
     fn gate_admits(&mut self, purpose: Purpose) -> bool {
         let window = self.latency_target as f64 * GATE_WINDOW_FRACTION_OF_LATENCY_TARGET;
         self.gate.advance_window(self.now, window as Micros);
@@ -455,8 +463,8 @@
         admitted
     }
 
-    /// Defers a request that the gate blocked by a random backoff, or ends the request if its answer would
-    /// come too late to earn value and no attempt is in flight.
+    /// Schedules a request whose call the gate blocked or the origin rejected to be sent again after a random
+    /// backoff. Ends the request instead if that would be too late to earn value and no attempt is in flight.
     fn defer(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let delay = self.jittered_backoff(self.requests[&request_id].class);
         let request_state = &self.requests[&request_id];
@@ -486,8 +494,9 @@
 
     // Sending an attempt
 
-    /// Sends an attempt and returns whether the rules allowed this. All attempts are sent here, so no other
-    /// code can break these rules.
+    /// Sends an attempt if the deadline, the limits on attempts, the state of the server and the
+    /// idempotency of the request allow it, and returns whether they do. All attempts are sent here, so no
+    /// other code can break these rules.
     fn send_attempt(
         &mut self,
         request_id: RequestId,
@@ -542,8 +551,8 @@
         true
     }
 
-    /// Whether a request may be sent to a server without the risk of a repeated effect: what may have been
-    /// executed is sent again only where and while servers drop the repeat.
+    /// Whether a request may be sent to a server without the risk of a repeated effect: a request that may
+    /// have been executed is sent again only to a server that drops the repeat, and only while it does so.
     fn may_retry_at(&self, request_state: &RequestState, server_id: ServerId) -> bool {
         let Some(&(_, first_sent_at, first_server_id)) = request_state.may_have_run.first() else {
             return true;
@@ -556,8 +565,8 @@
                     (self.servers.get(&first_server_id), self.servers.get(&server_id));
                 let same_scope =
                     first_server.zip(next_server).is_some_and(|(a, b)| a.shares_dedup_scope(b, scope));
-                // The last byte of the retry must arrive within the window, and the retry may need a new
-                // connection first.
+                // The last byte of the retry must reach the server within the deduplication window, and the
+                // retry may need a new connection first.
                 let reserve = 2 * self.settings.tick + self.settings.connect_timeout.max(window / 8);
                 same_scope && self.now + reserve < first_sent_at + window
             }
@@ -566,8 +575,8 @@
 
     // End of an attempt
 
-    /// Handles the end of an attempt: records what it shows, then finishes the request, retries it or leaves
-    /// the decision to its other attempts.
+    /// Handles the end of an attempt: records what the outcome shows about the server, then finishes the
+    /// request, retries it or leaves it to its other attempts.
     fn handle_outcome(&mut self, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(&(outcome.request, outcome.attempt)) else { return };
         if let Some(server) =
@@ -610,13 +619,14 @@
         if attempt.purpose != Purpose::Read && outcome.status == Status::Rejected {
             return self.defer(outcome.request, actions);
         }
-        // A retry of what may still be running adds work just when servers are slow, so it uses the retry
-        // budget. If each attempt opens a connection, a rejected one has cost the server work too.
+        // A retry of a request that may still be running adds work just when servers are slow, so it uses the
+        // retry budget. If each attempt opens a connection, a rejected attempt has cost the server work too.
         let cost_server_work =
             self.close_idle_connections && attempt.purpose == Purpose::Read && outcome.status != Status::Miss;
         if cost_server_work || !outcome.status.never_executed() {
-            // Malformed answers and broken connections are no sign of slow servers and can be frequent for
-            // days. A budget would run out, and the attempts of each request are few anyway.
+            // Malformed answers and broken connections are no sign of slow servers. In some runs of a test
+            // bench many of them occur, and a budget would run out. The attempts of each request are few
+            // anyway.
             let retry_cost =
                 if matches!(outcome.status, Status::Malformed | Status::Reset) { 0.0 } else { 1.0 };
             let retriable = match self.settings.classes[class].idempotency {
@@ -650,7 +660,7 @@
         let queued_per_core =
             server.map_or(0.0, |server| self.queued_per_core(server, in_progress.unwrap_or(0.0)));
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
-        // The connection tables of the servers have no room for an idle connection of each of many balancers.
+        // The connection table of a server is too small for one idle connection from each of many balancers.
         if server.in_flight == 0 && self.close_idle_connections {
             actions.push(Action::CloseIdle(attempt.server));
         }
@@ -664,9 +674,9 @@
             self.server_utilization.record(utilization.min(1.0), 1.0);
         }
         // A slow attempt was counted when it became slow; counting it at its end would delay the overload
-        // signal. An attempt that was abandoned before that without an answer is an overload signal too, if
-        // it was in flight for more than two service times: otherwise, with clients that wait only briefly,
-        // an overloaded fleet would look healthy.
+        // signal. An attempt that was abandoned earlier counts as an overload signal too, if it was in flight
+        // for more than two service times. Without this, an overloaded fleet would look healthy when clients
+        // wait only briefly.
         let age = self.now - attempt.sent_at;
         if age < attempt.slow_after && (!outcome.status.abandoned() || age as f64 > 2.0 * self.service_time) {
             self.overload_signal.record(
@@ -675,7 +685,8 @@
             );
         }
         match outcome.status {
-            // A server that fails every request at once looks idle and would attract more and more requests.
+            // A server that fails every request immediately looks idle and would attract more and more
+            // requests.
             Status::ConnectFailed | Status::Reset | Status::Error | Status::Malformed => {
                 // Only a failed connection counts as a sign of a restart: established connections break for
                 // many reasons, while a terminated process accepts no new ones.
@@ -687,7 +698,7 @@
                 self.record_server_failure(attempt.server, actions);
             }
             Status::TimedOut => server.connect_failed = false,
-            // The attempt was cancelled because the answer to its hedge came first.
+            // The attempt was slow and was cancelled, for example because its hedge was answered first.
             Status::Cancelled if self.now - attempt.sent_at >= attempt.slow_after => {
                 self.record_zone_failure(attempt.server, attempt.sent_at, actions);
             }
@@ -701,16 +712,16 @@
                 }
                 server.recent_answers = 1.0 + server.decayed_answers(self.now, attempt.latency_target);
                 server.last_answer_at = self.now;
-                // A server that fails reads of stored values may still answer misses at once, which is no
-                // recovery.
+                // A server that fails reads of stored values may still answer misses without an error, which
+                // does not show that it has recovered.
                 if server.returned_error && outcome.status != Status::Success {
                     return;
                 }
                 server.failure_count = server.failure_count.saturating_sub(1);
                 if server.ejection.until != 0 {
                     server.ejection = Ejection::default();
-                    // The server refused connections and answers again: it is a new process with a cold cache
-                    // that the server list does not show yet.
+                    // The server refused connections and answers again, so it is presumed to be a new process
+                    // with a cold cache. The server list does not show the new start time yet.
                     if std::mem::take(&mut server.connect_failed) {
                         server.entry.started_at = server.entry.started_at.max(self.now);
                         server.slow_start_bucket =
@@ -728,11 +739,11 @@
         let response_time = self.servers.get(&attempt.server).map_or(0.0, |server| server.response_time);
         let slow_limit = self.origin_latency_target as f64 * ORIGIN_SLOW_FRACTION_OF_LATENCY_TARGET;
         let slow = response_time > slow_limit;
-        // A call that the client's short time-out ended before it counts as slow tells nothing about the
-        // origin.
+        // A call that was abandoned before it was slow, because the client's time-out is short, is no sign
+        // that the origin is slow.
         let abandoned_early =
             outcome.status.abandoned() && ((self.now - attempt.sent_at) as f64) < slow_limit;
-        // A fixed ceiling would block calls to an idle origin if requests are many and short.
+        // A fixed ceiling would block calls to an idle origin when there are many short requests.
         let max_limit = (self.expected_request_rate()
             * GATE_CEILING_FRACTION_OF_LATENCY_TARGET
             * self.latency_target as f64
@@ -767,10 +778,10 @@
         );
     }
 
-    /// Counts an attempt that failed or had no answer for long while no server of its zone has answered since
-    /// it was sent, and ejects the whole zone after several such attempts. Without this, a balancer that
-    /// sends each server few requests would discover the failure server by server. Has no effect if no other
-    /// zone has a server that is not ejected.
+    /// Counts an attempt that could not connect or was not answered for a long time, if no server of its
+    /// zone has answered since the attempt was sent. Ejects the whole zone after several such attempts.
+    /// Without this, a balancer that sends each server few requests would detect the failure of the zone
+    /// one server at a time. Has no effect if no other zone has a server that is not ejected.
     fn record_zone_failure(&mut self, server_id: ServerId, sent_at: Micros, actions: &mut Vec<Action>) {
         let Some(zone) = self.servers.get(&server_id).map(|server| server.entry.zone) else { return };
         if !self.ready_servers(false).any(|server| server.entry.zone != zone && server.ejection.until == 0) {
@@ -817,9 +828,9 @@
             .min(self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
     }
 
-    /// Counts a failure of a server, and ejects the server after several failures without an answer between
-    /// them or after a failed trial, which is an attempt made after its ejection has ended. Prevents further
-    /// attempts at a server that is down.
+    /// Counts a failure of a server. Ejects the server when its failures outnumber its answers since by a
+    /// threshold, or after a failed trial, which is an attempt made after the ejection has ended. Prevents
+    /// further attempts at a server that is down.
     fn record_server_failure(&mut self, server_id: ServerId, actions: &mut Vec<Action>) {
         let (request_interval, min_ejection_time) =
             (self.per_server_request_interval(), self.min_ejection_time());
@@ -846,13 +857,15 @@
         }
     }
 
-    /// Handles an attempt that has had no answer for long. It counts as an overload signal, and as a failure
-    /// of its server if the server has answered nothing since; this detects servers that are silent or hang.
+    /// Handles an attempt that has become slow, nearly late or late. A slow attempt counts as an overload
+    /// signal, and a late one counts as a failure of its server if the server has answered nothing since the
+    /// attempt was sent; this detects servers that are silent or hang.
     fn handle_slow_attempt(&mut self, request_id: RequestId, attempt_number: u16, actions: &mut Vec<Action>) {
         let Some(&attempt) = self.attempts.get(&(request_id, attempt_number)) else { return };
         let (age, check_interval) = (self.now - attempt.sent_at, attempt.slow_after + 1);
-        // A slow attempt is half an overload signal, and a nearly late one the other half, since a slow
-        // answer is not yet lost. The attempt itself is counted only when it becomes slow.
+        // An attempt that becomes slow adds half an overload signal, because its answer may still be in time,
+        // and the other half when it becomes nearly late. It is added to the number of attempts only once,
+        // when it becomes slow.
         self.overload_signal.record(
             if age < attempt.latency_target && !attempt.presumed_lost { 0.5 } else { 0.0 },
             if age < check_interval * 3 / 2 { 1.0 } else { 0.0 },
@@ -873,9 +886,10 @@
         }
     }
 
-    /// Sets the reported load of a server that has answered nothing since a nearly late attempt was sent to
-    /// the number of requests that take as long as this attempt has waited, unless the present estimate is
-    /// higher. Detects an overload that load reports show too late, because they arrive with the answers.
+    /// Raises the reported load of a server that has answered nothing since a nearly late attempt was sent.
+    /// The new load is the number of requests whose service takes as long as this attempt has waited, or
+    /// the present estimate if that is higher. Detects an overload that load reports show too late, because
+    /// they arrive with the answers.
     fn presume_server_overloaded(&mut self, attempt: &Attempt) {
         let Some(server) = self
             .servers
@@ -893,18 +907,19 @@
     }
 
     /// Returns the time in flight in microseconds after which the answer of an attempt at a server is
-    /// presumed lost. The more answers the server lost recently, the shorter the time after which an answer
-    /// is more likely lost than slow. At that time a lost answer is e times as likely as a slow one if
-    /// response times are exponentially distributed, so that fewer slow answers are taken for lost than the
-    /// loss rate they are judged by.
+    /// presumed lost. The more of the server's answers were lost recently, the shorter is the time after
+    /// which an answer is more likely lost than slow. If response times are exponentially distributed, a
+    /// lost answer is then e times as likely as a slow one: the share of answers that are only slow but
+    /// presumed lost is the loss rate divided by e, and so stays below the loss rate that the time is
+    /// derived from.
     fn presumed_lost_after(&self, server_id: ServerId) -> f64 {
         self.servers.get(&server_id).map_or(0.0, |server| {
             server.response_time * (1.0 - server.loss_rate.ln()).min(MAX_LOST_MULTIPLE_OF_RESPONSE_TIME)
         })
     }
 
-    /// Marks an attempt as lost when its answer is overdue, and retries it. Checks the attempt again for as
-    /// long as its request needs an answer, because the response time of the server changes meanwhile.
+    /// Marks an attempt as lost when its answer is overdue, and retries it. Repeats the check until the
+    /// request has its final answer, because the response time of the server changes meanwhile.
     fn handle_missing_answer(
         &mut self,
         request_id: RequestId,
@@ -923,7 +938,8 @@
             .map(|server| server.loss_rate += LOSS_RATE_SMOOTHING_FACTOR * (1.0 - server.loss_rate));
         if newly_lost.is_some() || (!attempt.presumed_lost && self.in_silent_zone(&attempt)) {
             // A lost attempt no longer counts as in flight, neither at the gate nor at its server. Otherwise
-            // it would look like running work for all its time, and block calls that there is room for.
+            // it would count as running work until its time-out, and calls would be blocked despite free
+            // capacity.
             self.remove_from_in_flight(&attempt);
             self.attempts.insert((request_id, attempt_number), Attempt { presumed_lost: true, ..attempt });
         }
@@ -948,7 +964,7 @@
         }
     }
 
-    /// Returns, for each attempt of a request without an outcome, whether it is presumed lost.
+    /// Returns, for each of a request's attempts that have no outcome yet, whether it is presumed lost.
     fn open_attempts(&self, request_id: RequestId) -> impl Iterator<Item = bool> {
         let attempts_sent =
             self.requests.get(&request_id).map_or(0, |request_state| request_state.attempts_sent);
@@ -957,9 +973,9 @@
         })
     }
 
-    /// Retries an attempt whose answer is presumed lost: a read first at the same server and then at the next
-    /// one, within the retry budget, and calls to the origin through the gate. Without this, each lost answer
-    /// would cost its request all its time.
+    /// Retries an attempt whose answer is presumed lost, within the retry budget, if all open attempts of its
+    /// request are presumed lost: a read first at the same server and then at the next one, and a call to the
+    /// origin through the gate. Without this, each lost answer would delay its request until the deadline.
     fn retry_lost_attempt(&mut self, request_id: RequestId, attempt: &Attempt, actions: &mut Vec<Action>) {
         let lost_count = self.open_attempts(request_id).filter(|presumed_lost| *presumed_lost).count();
         if lost_count == 0
@@ -987,9 +1003,9 @@
         }
     }
 
-    /// Sends a hedge of a slow read to the next server. Handles a slow or silent server that one of many
-    /// balancers observes too rarely to avoid. A balancer that observes enough sends no hedge, which would
-    /// only add a fetch.
+    /// Sends a hedge of a slow read to the next server. Needed where one of many balancers gets too few
+    /// answers from a slow or silent server to avoid it. A balancer that gets enough answers from the
+    /// server sends no hedge, which would only cause another fetch.
     fn hedge(&mut self, request_id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         let Some(request_state) = self
             .requests
@@ -1039,8 +1055,8 @@
     /// most.
     fn shed_or_fail(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request_state) = self.requests.get(&request_id) else { return };
-        // Quotas count answers, so a request without one gets its token back. Otherwise a tenant held to its
-        // quota would get less than that.
+        // Quotas count answers, so the token of a request without an answer is returned. Otherwise a tenant
+        // that is limited to its quota would get fewer answers than its quota.
         let charged_tenant =
             request_state.charged_tenant.filter(|_| self.admission_level >= INITIAL_ADMISSION_LEVEL);
         charged_tenant
@@ -1048,8 +1064,8 @@
             .into_iter()
             .for_each(TokenBucket::refund);
         let (class, never_executed) = (request_state.class, request_state.may_have_run.is_empty());
-        // The client is asked to retry after the random backoff of a blocked call. A longer wait would make
-        // its retry too late, and the answer would take the place of another.
+        // The client is asked to retry after the random backoff of a blocked call. After a longer wait its
+        // retry would be too late, and would only take capacity from another request.
         actions.push(
             match self.settings.classes[class].idempotency == Idempotency::Idempotent || never_executed {
                 true => {
@@ -1063,8 +1079,8 @@
         self.requests.remove(&request_id);
     }
 
-    /// Cancels all attempts of a request that have no outcome, if servers allow this. Work that no client
-    /// waits for delays other requests.
+    /// Cancels all attempts of a request that have no outcome, if the settings allow this. Work that no
+    /// client waits for delays other requests.
     fn cancel_open_attempts(&self, request_id: RequestId, actions: &mut Vec<Action>) {
         let attempts_sent = self
             .requests
@@ -1108,7 +1124,7 @@
             server.entry = ServerEntry { started_at, ..entry };
         }
         // Removed servers without attempts in flight are deleted here, because searching all servers at each
-        // review took much CPU time.
+        // admission review would take much CPU time.
         self.servers.retain(|_, server| server.entry.state != ServerState::Removed || server.in_flight > 0);
         self.total_weight =
             self.ready_servers(false).map(|server| self.server_weight(server)).sum::<f64>().max(0.01);
