--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,13 +5,13 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// Overload signals per attempt above which tenants are held closer to their quotas. An attempt that is
-/// rejected or nearly late is one signal, a slow attempt is half.
+/// Overload signals per attempt above which the admission level falls, at most down to the quotas. An attempt
+/// that is rejected or nearly late is one signal, a slow attempt is half.
 const MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.06;
-/// Overload signals per attempt above which tenants are held even below their quotas.
+/// Overload signals per attempt above which the admission level may fall below the quotas.
 const SEVERE_OVERLOAD_SIGNALS_PER_ATTEMPT: f64 = 0.55;
-/// Mean CPU utilization in the load reports below which the fleet has room for the quotas and more; slowness
-/// is then a matter of single servers.
+/// Mean CPU utilization in the load reports below which the fleet has capacity for more than the quotas; slow
+/// attempts then show that single servers are slow, and not the fleet.
 const SPARE_CAPACITY_MAX_UTILIZATION: f64 = 0.7;
 /// Least admission level. A severely overloaded fleet recovers when it is half idle.
 const MIN_ADMISSION_LEVEL: f64 = 0.25;
@@ -26,11 +26,11 @@
 /// Number of attempts in a review period from which the level moves by a full step; with fewer the step is
 /// smaller, since one of many balancers observes few attempts.
 const FULL_STEP_MIN_ATTEMPTS: f64 = 5.0;
-/// Tokens that a bucket holds in addition to those of one latency target. Allows for chance in which balancer
-/// a tenant's requests reach.
+/// Tokens that a bucket holds in addition to those of one latency target. Allows for random variation in
+/// how a tenant's requests are spread over the balancers.
 const BURST_TOKENS: f64 = 5.0;
-/// Fraction of the quotas that all tenants may use in common. Tenants within their quotas leave about the
-/// rest unused.
+/// Fill rate of the shared bucket as a fraction of the quotas of all tenants. Tenants within their quotas
+/// leave about the remaining fraction unused.
 const SHARED_BUCKET_FRACTION_OF_QUOTAS: f64 = 0.8;
 /// Fraction of the earlier counts that a review keeps.
 const COUNTS_KEPT_FRACTION_PER_REVIEW: f64 = 0.85;
@@ -47,9 +47,9 @@
     /// of many balancers observes only a few of their requests.
     pub(super) fn admit(&mut self, request_state: &mut RequestState, tenant: usize) -> bool {
         let Some(tenant_bucket) = self.tenant_buckets.get_mut(tenant) else { return true };
-        // While all tenants together are below their quotas, the shared bucket prevents shedding by chance in
-        // a small bucket. A falling level reduces the depth of the buckets too: tokens saved in many buckets
-        // would prolong an overload.
+        // While all tenants together are below their quotas, the shared bucket prevents a request from being
+        // shed because a small tenant bucket happens to be empty. A falling level reduces the depth of the
+        // buckets too: tokens that have accumulated in many buckets would prolong an overload.
         let burst = (BURST_TOKENS * self.admission_level).clamp(1.0, BURST_TOKENS);
         let shared_token = self.shared_bucket.refill(
             self.now,
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Adjusts the admission level by the recent overload signal. An equal part of a quota for each balancer
-    /// is an estimate, and some of many balancers receive several times the mean, so no tenant is held to the
-    /// estimate while the fleet has spare capacity.
+    /// Adjusts the admission level by the recent overload signal. Each balancer assumes that it receives an
+    /// equal part of a tenant's requests, but some of many balancers receive several times the mean. So no
+    /// tenant is limited to that part of its quota while the fleet has spare capacity.
     pub(super) fn review_admission_level(&mut self, actions: &mut Vec<Action>) {
         let period = (self.latency_target / 8).max(self.settings.tick).max(1);
         let previous_level = self.admission_level;
@@ -92,8 +92,9 @@
         let hold_to_quotas =
             overload > MODERATE_OVERLOAD_SIGNALS_PER_ATTEMPT && !severe_overload && !has_spare_capacity;
         let min_level = if severe_overload { MIN_ADMISSION_LEVEL } else { INITIAL_ADMISSION_LEVEL };
-        // The level moves by full steps during a severe overload, which grows by itself, and when few or no
-        // requests are left to judge by.
+        // The level moves by full steps during a severe overload, because such an overload is
+        // self-reinforcing, and when there are few or no requests to base the step on: below the quotas,
+        // with sparse traffic and spare capacity, or without any read in flight.
         let full_step = severe_overload
             || previous_level < INITIAL_ADMISSION_LEVEL
             || has_spare_capacity
--- a/src/policy/discovery_refresh.rs
+++ b/src/policy/discovery_refresh.rs
@@ -1,61 +1,63 @@
-//! Times of the calls to discovery. Owns the time of the next call, and keeps the calls of many balancers
-//! apart. Must not know how a call is made, only how the last one ended.
+//! Times of the calls to discovery. Owns the time of the next call, and spreads the calls of many balancers
+//! over time. Must not know how a call is made, only how the last one ended.
 
 use crate::interface::{Action, DiscoveryFailure, Micros};
 use crate::state::*;
 
-/// Time over which calls are spread, for each further balancer, as a fraction of the time after which a
-/// balancer counts as notified of a change (`Settings::notified_after`).
+/// Time by which each balancer after the first lengthens the spread of the calls, as a fraction of the time
+/// after which a balancer counts as notified of a change (`Settings::notified_after`).
 const SPREAD_FRACTION_PER_BALANCER: f64 = 1.0 / 150.0;
 /// Number of balancers that may wait in the queue of discovery without harm.
 const BALANCERS_QUEUED_WITHOUT_HARM: u32 = 4;
-/// Time over which calls are spread, for each balancer beyond those that may wait without harm, as a fraction
-/// of the same time. Applies if it gives the longer spread.
+/// Time by which each balancer beyond those that may wait without harm lengthens the spread of the calls,
+/// as a fraction of the same time as above. Applies if it gives the longer spread.
 const SPREAD_FRACTION_PER_EXCESS_BALANCER: f64 = 1.0 / 40.0;
-/// Time after the last contact with discovery by which it must be called. What discovery has, and can be
-/// asked for, counts as notified after 6 s, however the earlier calls ended. The remaining time is enough for
-/// the call to connect and to be answered; with many callers, the queue takes the same time for all of them.
+/// Time after the last contact with discovery by which it must be called. A balancer counts as notified of a
+/// change 6 s after it could have called discovery and learned of the change, even if all calls since then
+/// failed. The remaining time is enough for the call to connect and to be answered; with many callers, the
+/// queue takes the same time for all of them.
 const CALL_DUE_US: Micros = 5_500_000;
-/// Number of calls that must fit into that time, as far as discovery can serve the fleet that often, because
-/// the first may fail. The spread is the least time in which discovery serves the fleet; it may need twice as
-/// long.
+/// Number of calls that must fit into [`CALL_DUE_US`], as far as discovery can serve the fleet that often,
+/// because the first call may fail. Discovery serves one call of every balancer within the spread at best,
+/// and may need twice as long.
 const CALLS_WITHIN_DUE_TIME: f64 = 2.0;
-/// Longest time over which calls to a new address of discovery are spread. What discovery has to report
-/// counts as notified 4 s after the move, and the call itself needs the rest of that time.
+/// Longest time over which calls to a new address of discovery are spread. A balancer counts as notified of
+/// the changes there 4 s after the move, and the call itself needs the rest of these 4 s.
 const MAX_MOVED_SPREAD_US: f64 = 2_500_000.0;
-/// Changes of the address that follow one another within this time are answered by one call. It is less than
-/// the 1.5 s for which the former address keeps its connections.
+/// Changes of the address that follow one another within this time lead to a single call. The time is less
+/// than the 1.5 s for which the former address keeps its connections.
 const MOVE_SETTLING_US: Micros = 1_000_000;
 /// Time after a move by which a failed call is made again, for the same reason as [`MAX_MOVED_SPREAD_US`].
 const MOVED_CALL_DUE_US: Micros = 3_500_000;
-/// Consecutive time-outs after which the calls back off.
+/// Number of consecutive failed calls after which a further time-out leads to a backoff.
 const TIMEOUTS_BEFORE_BACKOFF: u32 = 2;
-/// Consecutive interruptions after which the calls back off.
+/// Number of consecutive failed calls after which a further interruption leads to a backoff.
 const INTERRUPTIONS_BEFORE_BACKOFF: u32 = 2;
 /// After an interrupted watch, discovery is called again within this fraction of the drain grace time.
 const INTERRUPTED_SPREAD_FRACTION_OF_DRAIN_GRACE: f64 = 1.0 / 4.0;
-/// First backoff after a failed call that discovery accepted, as a fraction of the time after which a
-/// balancer counts as notified of a change.
+/// First backoff after a failed call, and every backoff after a call that discovery did not accept, as a
+/// fraction of the time after which a balancer counts as notified of a change.
 const INITIAL_BACKOFF_FRACTION_OF_NOTIFIED_AFTER: f64 = 1.0 / 16.0;
-/// Number of times that this backoff is doubled.
+/// Largest number of times that the first backoff is doubled after calls that discovery accepted.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Number of consecutive failed calls that discovery accepted after which the backoff grows by a step. A
-/// large fleet may be too much for discovery to serve in time; without longer backoffs it would only reach
-/// calls that have waited too long. A few such failures only show an outage, and must not have this effect.
+/// large fleet may call more often than discovery can serve; without longer backoffs, every call would have
+/// waited too long when its turn in the queue comes. A few such failures may be an outage, and must not
+/// have this effect.
 const FAILURES_PER_OVERLOAD_STEP: u32 = 8;
 /// Factor by which each such step lengthens the backoff.
 const OVERLOAD_STEP_FACTOR: f64 = 2.0;
 /// Largest number of such steps.
 const MAX_OVERLOAD_STEPS: u32 = 2;
-/// Shortest time between two calls as a fraction of the period. Periods are constant except for this jitter,
-/// so the calls of many balancers stay as far apart as chance placed the first of them.
+/// Shortest time between two calls as a fraction of the period. The period has no other jitter, so the
+/// calls of many balancers stay as far apart as the random times of their first calls.
 const MIN_INTERVAL_FRACTION_OF_PERIOD: f64 = 0.9;
 
 impl Policy {
     /// Returns the time in microseconds over which the calls of all balancers to discovery are spread.
-    /// Discovery handles calls one after another, and a call that has waited too long there fails but costs
-    /// as much. If many balancers restart at once and call at the same time, all but the first few calls
-    /// fail, and fail again if all call again soon.
+    /// Discovery handles calls one after another. A call that has waited too long there fails, but costs
+    /// discovery as much as a successful one. If many balancers restart and call at the same time, all calls
+    /// except the first few fail, and they fail again if all balancers soon repeat them.
     pub(super) fn discovery_call_spread(&self) -> f64 {
         let balancer_count = self.settings.balancer_count;
         let fraction_of_all = f64::from(balancer_count.saturating_sub(1)) * SPREAD_FRACTION_PER_BALANCER;
@@ -66,7 +68,7 @@
     }
 
     /// Schedules a call to the new address of discovery. One configuration may move discovery for all
-    /// balancers at once, so the calls are spread. How calls to the former address ended says nothing about
+    /// balancers at once, so the calls are spread. Failures of calls to the former address do not count for
     /// the new one.
     pub(super) fn handle_discovery_move(&mut self) {
         let spread = self.discovery_call_spread().min(MAX_MOVED_SPREAD_US) * self.rng.next_unit();
@@ -76,8 +78,8 @@
             self.discovery_moved_at = Some(self.now);
             return self.schedule_discovery_call(spread as Micros);
         };
-        // Each configuration in a quick sequence would cost discovery a useless call, so the call waits for
-        // the last of them as long as there is time.
+        // If configurations follow one another quickly, a call after each of them would be useless load on
+        // discovery. So the call waits for the last of them as long as there is time.
         if !self.discovery_can_serve_retries() {
             return self.schedule_discovery_call(spread as Micros);
         }
@@ -94,13 +96,13 @@
     }
 
     /// Sets the time by which discovery must be called, because missed changes count as notified soon after.
-    /// A failed call does not move this time back.
+    /// A failed call does not postpone this time.
     fn require_discovery_call_by(&mut self, at: Micros) {
         self.discovery_call_due = Some(self.discovery_call_due.map_or(at, |due| due.min(at)));
     }
 
-    /// Schedules a call to discovery unless an earlier one is pending. One call serves all that were
-    /// requested meanwhile, since each costs discovery the same.
+    /// Schedules a call to discovery unless an earlier one is pending. Calls that are requested before the
+    /// pending one is made are merged into it, since every call costs discovery the same.
     pub(super) fn schedule_discovery_call(&mut self, delay: Micros) {
         let at = self.now + delay;
         if self.next_discovery_call.is_none_or(|pending| at < pending) {
@@ -135,9 +137,10 @@
         )));
     }
 
-    /// Returns the earliest and the latest delay of the next call by the load on discovery alone. A call that
-    /// discovery never accepted cost it nothing, and an early next call notices its return; a call that it
-    /// accepted cost as much as a successful one, so the following calls come later each time.
+    /// Returns the earliest and the latest delay of the next call, considering only the load on discovery.
+    /// A call that discovery did not accept cost it nothing, and an early next call detects the end of an
+    /// outage soon. A call that it accepted cost as much as a successful one, so each following call is
+    /// delayed longer.
     fn next_call_window(&self, failure: DiscoveryFailure, since_last_contact: f64) -> (f64, f64) {
         let (spread, initial_backoff) = (
             self.discovery_call_spread(),
@@ -146,8 +149,8 @@
         let accepted = failure != DiscoveryFailure::Unreachable;
         let grace = self.settings.drain_grace_time as f64;
         match failure {
-            // The missed changes count as notified, and the call has to wait in the queue within the grace
-            // time.
+            // The missed changes already count as notified, so the call and its wait in discovery's queue
+            // have to fit into the drain grace time.
             DiscoveryFailure::Interrupted
                 if self.discovery_failures < INTERRUPTIONS_BEFORE_BACKOFF
                     && self.discovery_can_serve_retries() =>
@@ -166,9 +169,9 @@
         }
     }
 
-    /// Returns the latest delay of the next call, whatever the failures before. One more failed call must not
-    /// delay the following one too long, so there is time for another call, as far as discovery can serve the
-    /// fleet that often.
+    /// Returns the upper limit on the delay of the next call. Unless the last call timed out, it leaves
+    /// time for another call in case the next one fails too, as far as discovery can serve the fleet that
+    /// often.
     fn latest_next_call(&self, failure: DiscoveryFailure, since_last_contact: f64) -> f64 {
         let call_due = CALL_DUE_US as f64;
         let latest = match failure {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,12 +6,12 @@
 use crate::interface::Key;
 use crate::state::*;
 
-/// Rate of attempts at a cold server as a multiple of the rate at a warmed-up server, scaled by the cold
-/// server's present fraction of its capacity.
+/// Rate of attempts that a cold server is allowed, as a multiple of the rate at a warmed-up server times the
+/// cold server's present fraction of its full capacity.
 const SLOW_START_RATE_MULTIPLE: f64 = 1.5;
 
 impl Policy {
-    /// Returns the fraction of its capacity that a server has at least, by the time since its start.
+    /// Returns the least fraction of its full capacity that a server has at this time after its start.
     fn capacity_fraction(&self, server: &Server) -> f64 {
         let warmed_up_fraction = self.now.saturating_sub(server.entry.started_at) as f64
             / self.settings.warm_up_time.max(1) as f64;
@@ -23,14 +23,15 @@
         }
     }
 
-    /// Whether slow start allows a request for a key at a server. A cold server gets a fraction of its keys
-    /// that grows while the server warms up, the same keys from every balancer, and from each balancer no
-    /// more than a fraction of a warmed-up server's requests. Prevents the crash of a cold server by
-    /// overload.
+    /// Whether slow start allows a request for a key at a server. A cold server gets a fraction of its keys,
+    /// the same keys from every balancer; the fraction grows while the server warms up. Each balancer also
+    /// sends it only a fraction of the requests of a warmed-up server, and none for hot keys. Prevents an
+    /// overload from crashing the cold server.
     pub(super) fn slow_start_allows(&self, key: Key, server: &Server) -> bool {
         let capacity_fraction = self.capacity_fraction(server);
         let below_depth = |(level, depth)| level < depth;
-        // A hot key would arrive from all balancers at once, although each stays within its bucket.
+        // Requests for a hot key would arrive from all balancers at once, although each balancer stays within
+        // the limit of its bucket.
         let is_hot = || {
             self.recent_requests
                 .iter()
@@ -46,9 +47,10 @@
     }
 
     /// Returns the level and the depth of a server's slow-start bucket, which limits attempts in proportion
-    /// to the server's present capacity. One of many balancers may send less than one attempt, so the bucket
-    /// starts overfull by a random fraction of one attempt. Without this, the first attempts of all balancers
-    /// would arrive at once and overload the server.
+    /// to the server's present capacity. The part of one of many balancers may be less than one attempt in
+    /// the time in which an overload crashes the server. So the bucket starts above its depth, by a random
+    /// fraction of one attempt. Without this, the first attempts of all balancers would arrive at once and
+    /// overload the server.
     pub(super) fn slow_start_level_and_depth(&self, server: &Server) -> (f64, f64) {
         let rate = SLOW_START_RATE_MULTIPLE
             * self.capacity_fraction(server)
