--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,7 +27,8 @@
     pub tenants: Vec<Tenant>,
     /// Whether the balancer must request the server list (by subscription or as a whole) or has it pushed.
     pub pull_discovery: bool,
-    /// Without a subscription, the balancer counts as notified of a change this long after the change.
+    /// Time after a change of the server list from which a balancer without a subscription counts as
+    /// notified: it is held responsible for acting on the change, whether or not it has received it.
     pub notified_after: Micros,
     /// Machine type of the origin in the server list; `None` if the servers fetch missing values themselves.
     pub origin_machine_type: Option<u16>,
@@ -53,18 +54,19 @@
     pub handshake_price: f64,
     /// Longest retry-after that clients honour; 0 if they ignore it.
     pub max_retry_after: Micros,
-    /// Shortest time between two calls of the decision module.
+    /// Shortest time between two calls that the node makes to the decision module.
     pub tick: Micros,
-    /// Share of its capacity that a server has at least when it starts.
+    /// Least share of its full capacity that a server has when it starts.
     pub initial_capacity_share: f64,
     /// Time after its start by which a server is warmed up.
     pub warm_up_time: Micros,
     /// A cold server crashes if its load exceeds this multiple of its present capacity for
     /// [`Self::crash_load_time`].
     pub crash_load_multiple: f64,
-    /// Time for which a cold server survives such a load.
+    /// Time for which a cold server survives a load above [`Self::crash_load_multiple`].
     pub crash_load_time: Micros,
-    /// Time within which sending to a draining or removed server must stop.
+    /// Time within which sending to a draining or removed server must stop, from when the balancer counts as
+    /// notified (see [`Self::notified_after`]).
     pub drain_grace_time: Micros,
     /// Time after which a connection attempt has failed.
     pub connect_timeout: Micros,
@@ -114,7 +116,7 @@
     pub on_time_value: f64,
     /// Fraction of that value which an answer after the latency target still earns.
     pub late_value_fraction: f64,
-    /// Whether requests of this class may be repeated.
+    /// Effect of executing a request of this class more than once.
     pub idempotency: Idempotency,
 }
 
@@ -139,14 +141,15 @@
     Deduplicated {
         /// The servers that drop a repeat.
         scope: DedupScope,
-        /// Duration, counted from the sending of the earliest attempt that may have run.
+        /// Time for which they drop repeats, from the sending of the earliest attempt that may have run.
         window: Micros,
     },
     /// The effect is repeated.
     NonIdempotent,
 }
 
-/// The cache servers that share the record of keyed requests which any of them has seen.
+/// The cache servers that share a record of the keyed requests they have seen, and so drop each other's
+/// repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every cache server.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Routing decisions of a balancer in front of fleets of cache servers, as a pure and deterministic state
+//! Routing decisions of a balancer in front of a fleet of cache servers, as a pure and deterministic state
 //! machine.
 //!
 //! A [`Policy`] makes the decisions of one balancer. It receives each [`Event`] with its time and returns the
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,7 +17,7 @@
     pub(crate) now: Micros,
     /// Longest latency target of all classes.
     pub(crate) latency_target: Micros,
-    /// Shortest latency target of all classes, which the origin is measured by.
+    /// Shortest latency target of all classes; the response time of the origin is compared with it.
     pub(crate) origin_latency_target: Micros,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     /// Requests without a final answer.
@@ -32,7 +32,7 @@
     pub(crate) shared_bucket: TokenBucket,
     /// This balancer's equal part of all quotas in requests per second; 0 if there are none.
     pub(crate) quota_share: f64,
-    /// Multiple of their quotas that tenants are admitted at.
+    /// Multiple of the quotas at which the token buckets fill.
     pub(crate) admission_level: f64,
     /// Overload signals per attempt in the recent review periods.
     pub(crate) overload_signal: DecayingRatio,
@@ -53,7 +53,7 @@
     /// Rate of admitted requests.
     pub(crate) admitted_rate: RateMeter,
     pub(crate) timers: TimerQueue,
-    /// Consecutive failed calls to discovery; one that discovery never accepted restarts the count.
+    /// Number of consecutive failed calls to discovery; a call that discovery did not accept sets it to 1.
     pub(crate) discovery_failures: u32,
     /// Time of the next call to discovery; `None` while a call or watch is active.
     pub(crate) next_discovery_call: Option<Micros>,
@@ -86,7 +86,8 @@
     pub presumed_lost: bool,
 }
 
-/// Liveness of a zone: when any of its servers last answered, and the attempts that seem unanswered since.
+/// Liveness of a zone: the time at which any of its servers last answered, and the number of attempts sent
+/// since then that could not connect or were not answered for a long time.
 #[derive(Default)]
 pub struct ZoneState {
     pub last_answer_at: Micros,
@@ -135,7 +136,8 @@
     pub loss_rate: f64,
     /// Exponentially decaying count of answers, over about one latency target.
     pub recent_answers: f64,
-    /// Failures, less the answers since; the server is ejected from a threshold on.
+    /// Number of failures, less the number of answers since, at least 0; the server is ejected when the count
+    /// reaches a threshold.
     pub failure_count: u32,
     /// Whether the latest failure was a failed connection.
     pub connect_failed: bool,
@@ -152,7 +154,8 @@
         self.recent_answers * (-((now - self.last_answer_at) as f64) / span as f64).exp()
     }
 
-    /// Returns the requests in progress per core, as derived from the weight.
+    /// Returns the requests in progress per core, derived from how far the weight is below that of the idle
+    /// server.
     pub fn requests_per_core(&self) -> f64 {
         f64::from(self.idle_weight / self.entry.weight.max(1e-3) - 1.0).max(0.0)
     }
@@ -210,7 +213,7 @@
     pub window_calls: [u32; 2],
     pub window_start: Micros,
     pub reduced_at: Micros,
-    /// Share of recent attempts to pass the gate that found it closed.
+    /// Share of the recent calls that the gate blocked.
     pub blocked_ratio: DecayingRatio,
 }
 
@@ -333,8 +336,8 @@
         self.queue.push(Reverse((time, task)));
     }
 
-    /// Handles a timer of the node that fired. A timer that an earlier one has replaced is ignored: setting
-    /// another for each of those would make the number of timers grow without limit.
+    /// Handles a timer of the node that fired. A timer that was replaced by one for an earlier time still
+    /// fires and is ignored. If each of these led to another timer, their number would grow without limit.
     pub fn timer_fired(&mut self, now: Micros) {
         self.armed_for = self.armed_for.filter(|armed| *armed > now);
     }
@@ -369,7 +372,8 @@
     }
 }
 
-/// Returns a number between 0 and 1 that depends on a key, a server and a seed only.
+/// Returns a number between 0 and 1 that depends on a key, a server and a seed only. Different seeds give
+/// independent numbers for different uses.
 pub fn unit_hash(key: Key, server: ServerId, seed: u64) -> f64 {
     let mut bytes = [0u8; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
