--- a/src/state.rs
+++ b/src/state.rs
@@ -95,7 +95,7 @@
 }
 
 /// Requests of all balancers that a server had in progress at its latest load report, and the time of that
-/// report.
+/// report; or the later estimate for a server that answers nothing (`Policy::presume_server_overloaded`).
 #[derive(Default)]
 pub struct ReportedRequests {
     pub count: f64,
