--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -568,7 +568,11 @@
 fn a_server_with_reset_connections_is_not_presumed_cold_when_it_answers_again() {
     let mut node = TestNode::new(settings(), 1);
     let mut id = 0;
-    while !node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("set aside"))) {
+    while !node
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Log(line) if line.contains("fails or is silent: ejected")))
+    {
         id += 1;
         node.request(read(id, 9));
         (0..3).for_each(|attempt| drop(node.outcome(id, attempt, 1, Status::Reset)));
@@ -813,7 +817,9 @@
         node.outcome(id, 0, failing_server, status);
         node.request(read(id + 1, 9));
     }
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("set aside"))));
+    assert!(
+        node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("fails or is silent: ejected")))
+    );
 }
 
 #[test]
