--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -75,6 +75,10 @@
 const ACCEPT_AFTER_TERMINATE_US: Micros = 450_000;
 /// A draining node exits no later than the longest deadline of a class plus this margin.
 const DRAIN_MARGIN_US: Micros = 550_000;
+/// Delay of the first drain check after the drain begins.
+const FIRST_DRAIN_CHECK_DELAY_US: Micros = 20_000;
+/// Interval between drain checks.
+const DRAIN_CHECK_INTERVAL_US: Micros = 10_000;
 const IDLE_SWEEP_INTERVAL_US: Micros = 1_000_000;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -212,7 +216,7 @@
                         {
                             return;
                         }
-                        self.timers.push(Reverse((now + 10_000, NodeTimer::DrainCheck)));
+                        self.timers.push(Reverse((now + DRAIN_CHECK_INTERVAL_US, NodeTimer::DrainCheck)));
                     }
                     other_timer => self.handle_timer(other_timer, now),
                 }
@@ -247,7 +251,10 @@
                     self.deployment.settings.classes.iter().map(|class| class.deadline).max();
                 self.drain_deadline = Some(now + longest_deadline.unwrap_or(0) + DRAIN_MARGIN_US);
                 self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US, NodeTimer::BeginDrain)));
-                self.timers.push(Reverse((now + ACCEPT_AFTER_TERMINATE_US + 20_000, NodeTimer::DrainCheck)));
+                self.timers.push(Reverse((
+                    now + ACCEPT_AFTER_TERMINATE_US + FIRST_DRAIN_CHECK_DELAY_US,
+                    NodeTimer::DrainCheck,
+                )));
             }
             NodeEvent::Terminate => {}
         }
