--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -192,7 +192,7 @@
             while latest_watch_id.load(Ordering::Relaxed) == id {
                 let opened_at = Instant::now();
                 call_parameters.start().watch_quietly(&index).await;
-                pause = next_backoff(pause, opened_at.elapsed(), drain_grace);
+                pause = next_reopen_pause(pause, opened_at.elapsed(), drain_grace);
                 tokio::time::sleep(pause).await;
             }
         };
@@ -243,7 +243,7 @@
 
 /// Returns the pause before a watch on pushed lists is reopened, from the previous pause and the time for
 /// which the watch was open.
-fn next_backoff(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
+fn next_reopen_pause(previous: Duration, open_duration: Duration, drain_grace: Duration) -> Duration {
     let max_pause = (drain_grace / MAX_PAUSE_GRACE_DIVISOR).clamp(MIN_REOPEN_PAUSE, MAX_REOPEN_PAUSE);
     if open_duration > MAX_REOPEN_PAUSE { MIN_REOPEN_PAUSE } else { (previous * 2).min(max_pause) }
 }
@@ -257,7 +257,7 @@
         for grace in [200, 700, 2_000, 60_000].map(Duration::from_millis) {
             let (mut pause, mut longest) = (MIN_REOPEN_PAUSE, Duration::ZERO);
             for _ in 0..20 {
-                pause = next_backoff(pause, Duration::from_millis(1), grace);
+                pause = next_reopen_pause(pause, Duration::from_millis(1), grace);
                 longest = longest.max(pause);
             }
             let bound = (grace / 2).min(MAX_REOPEN_PAUSE);
@@ -265,7 +265,7 @@
                 longest <= bound && longest >= MIN_REOPEN_PAUSE,
                 "longest pause {longest:?} with a drain grace time of {grace:?}"
             );
-            let after_stable_watch = next_backoff(longest, Duration::from_secs(60), grace);
+            let after_stable_watch = next_reopen_pause(longest, Duration::from_secs(60), grace);
             assert_eq!(
                 after_stable_watch, MIN_REOPEN_PAUSE,
                 "after a watch that was open for long, whether or not it received anything"
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -72,9 +72,9 @@
         }
     }
     let rest = &body[consumed..];
-    let leading_blank = rest.len() - rest.trim_ascii_start().len();
-    let any_received = consumed > 0 || rest[..leading_blank].contains(&b'\n');
-    body.advance(consumed + leading_blank);
+    let leading_blank_bytes = rest.len() - rest.trim_ascii_start().len();
+    let any_received = consumed > 0 || rest[..leading_blank_bytes].contains(&b'\n');
+    body.advance(consumed + leading_blank_bytes);
     Ok(ParsedLists { lists, any_received })
 }
 
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -124,7 +124,7 @@
     deployment: Arc<Deployment>,
     clock: Clock,
     policy: Policy,
-    events: VecDeque<Event>,
+    queued_events: VecDeque<Event>,
     timers: BinaryHeap<Reverse<(Micros, NodeTimer)>>,
     open_requests: HashMap<RequestId, OpenRequest>,
     attempts: HashMap<AttemptId, Attempt>,
@@ -152,7 +152,7 @@
         Node {
             clock,
             policy: Policy::new(deployment.settings.clone(), config.seed),
-            events: VecDeque::new(),
+            queued_events: VecDeque::new(),
             timers: BinaryHeap::new(),
             open_requests: HashMap::new(),
             attempts: HashMap::new(),
@@ -303,13 +303,13 @@
 
     /// Passes an event to the decision module, carries out its actions, and handles the events that result.
     fn dispatch_event(&mut self, event: Event) {
-        self.events.push_back(event);
+        self.queued_events.push_back(event);
         self.process_queued_events();
     }
 
     fn process_queued_events(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.events.pop_front() {
+        while let Some(event) = self.queued_events.pop_front() {
             self.policy.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 self.perform_action(action);
@@ -334,7 +334,7 @@
             Action::Timer { delay, token } => {
                 self.timers.push(Reverse((self.clock.now() + delay.max(1), NodeTimer::Policy(token))));
             }
-            Action::Subscribe(on) => self.discovery.subscribe(on),
+            Action::Subscribe(subscribed) => self.discovery.subscribe(subscribed),
             Action::FetchList => self.discovery.fetch(),
             Action::CloseIdle(server) => self.pool.close_idle(server),
             Action::Log(line) => log(&line),
@@ -343,7 +343,7 @@
             // either.
             Action::Probe(server) => {
                 let (elapsed, load) = (0, LoadReport::default());
-                self.events.push_back(Event::Probed { server, healthy: false, elapsed, load });
+                self.queued_events.push_back(Event::Probed { server, healthy: false, elapsed, load });
             }
             Action::Tell { .. } => {}
         }
@@ -418,7 +418,7 @@
         let ids: Vec<_> = self.open_requests.iter().filter_map(unfinished_id).collect();
         for id in ids {
             self.finish_request(id);
-            self.events.push_back(Event::ClientGone(id));
+            self.queued_events.push_back(Event::ClientGone(id));
         }
     }
 
@@ -644,7 +644,7 @@
         if finished {
             self.finish_request(attempt_id.0);
         }
-        self.events.push_back(Event::Outcome(Outcome {
+        self.queued_events.push_back(Event::Outcome(Outcome {
             request: attempt_id.0,
             attempt: attempt_id.1,
             server: attempt.server,
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -75,7 +75,7 @@
 /// Decodes a chunked body as its bytes arrive.
 #[derive(Default)]
 pub struct ChunkedDecoder {
-    chunk_remaining: usize,
+    remaining_chunk_bytes: usize,
     /// Whether the line end after the content of a chunk is still to come.
     chunk_end_pending: bool,
     finished: bool,
@@ -85,13 +85,13 @@
     /// Moves available content of the body from `input` to `output`; returns whether the body is complete.
     pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, MalformedResponse> {
         while !self.finished {
-            if self.chunk_remaining > 0 {
-                let part = self.chunk_remaining.min(input.len());
+            if self.remaining_chunk_bytes > 0 {
+                let part = self.remaining_chunk_bytes.min(input.len());
                 output.extend_from_slice(&input[..part]);
                 input.advance(part);
-                self.chunk_remaining -= part;
-                self.chunk_end_pending = self.chunk_remaining == 0;
-                if self.chunk_remaining > 0 {
+                self.remaining_chunk_bytes -= part;
+                self.chunk_end_pending = self.remaining_chunk_bytes == 0;
+                if self.remaining_chunk_bytes > 0 {
                     return Ok(false);
                 }
             }
@@ -108,7 +108,7 @@
             match httparse::parse_chunk_size(input) {
                 Ok(httparse::Status::Complete((length, size))) => {
                     input.advance(length);
-                    self.chunk_remaining = usize::try_from(size).map_err(|_| MalformedResponse)?;
+                    self.remaining_chunk_bytes = usize::try_from(size).map_err(|_| MalformedResponse)?;
                     // Trailers are not parsed, so the connection cannot be reused after the last chunk.
                     self.finished = size == 0;
                 }
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -48,7 +48,7 @@
     let clock = Clock::start();
     let connection_slots = ConnectionSlots::new(config.sockets);
     let mut terminate_signals = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
-    let hangup = signal(SignalKind::hangup())?;
+    let hangup_signals = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
     log(&format!("listening on {}", listener.local_addr()?));
     let deployment = Arc::new(config.deployment.clone());
@@ -79,7 +79,7 @@
         tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         let _ = signal_event_sender.send(NodeEvent::Terminate).await;
     });
-    tokio::spawn(reload::reload_on_sighup(hangup, event_sender.clone()));
+    tokio::spawn(reload::reload_on_sighup(hangup_signals, event_sender.clone()));
     let slots = connection_slots.clone();
     let no_clients_connected = move || slots.no_clients();
     Node::new(config, deployment, clock, event_sender, connection_slots, memory)
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -110,9 +110,9 @@
             self.apply_endpoint(endpoint, now, &mut changes);
         }
         if kind != ListKind::Delta {
-            self.remove_unlisted(endpoints, &mut changes);
+            self.record_unlisted_as_removed(endpoints, &mut changes);
         }
-        self.forget_removed_servers(&changes);
+        self.delete_removed_servers(&changes);
         changes
     }
 
@@ -125,9 +125,9 @@
             }
         }
         if update.snapshot {
-            self.remove_unlisted(&update.endpoints, &mut changes);
+            self.record_unlisted_as_removed(&update.endpoints, &mut changes);
         }
-        self.forget_removed_servers(&changes);
+        self.delete_removed_servers(&changes);
         changes
     }
 
@@ -141,7 +141,7 @@
         entry.state != ServerState::Ready && self.ready(id).is_some_and(|server| !is_earlier_process(server))
     }
 
-    fn forget_removed_servers(&mut self, changes: &ListChanges) {
+    fn delete_removed_servers(&mut self, changes: &ListChanges) {
         for entry in changes.entries.iter().filter(|entry| entry.state == ServerState::Removed) {
             self.servers.remove(&entry.id);
         }
@@ -196,7 +196,7 @@
     }
 
     /// Marks servers that a complete list does not contain as removed.
-    fn remove_unlisted(&mut self, endpoints: &[Endpoint], changes: &mut ListChanges) {
+    fn record_unlisted_as_removed(&mut self, endpoints: &[Endpoint], changes: &mut ListChanges) {
         let listed: HashSet<_> = endpoints.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
             changes.close_idle.push(*id);
