--- a/src/bin/pondproxy-node/config.rs
+++ b/src/bin/pondproxy-node/config.rs
@@ -15,7 +15,8 @@
     pub listen: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed for the random numbers of the decision module.
+    /// Seed for the random numbers of the decision module. The file gives it as a hexadecimal number; any
+    /// other text is hashed.
     pub seed: u64,
     /// Maximum number of sockets that the node may hold, of every kind.
     pub sockets: usize,
--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -1,5 +1,9 @@
-//! The calls to discovery in progress: which of them is in force, and which ones it has superseded. Does not
+//! The calls to discovery in progress: which of them are current, and which have been superseded. Does not
 //! decide when a call is made, and does not look into the lists that calls receive.
+//!
+//! The node counts as notified of a change, whether or not it has received the change, when discovery writes
+//! it to one of the node's watches, when the local agent learns of it, or, without a working watch, after a
+//! time limit. From then on, sending to a draining or removed server must stop within the drain grace time.
 
 mod call;
 mod list;
@@ -22,11 +26,12 @@
 /// Shortest pause before a watch on pushed lists is reopened. The pause doubles after each watch that was not
 /// stable.
 const MIN_REOPEN_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause before a watch on pushed lists is reopened, and the time for which a stable watch stays
-/// open.
+/// Longest pause before a watch on pushed lists is reopened. A watch that was open for longer than this was
+/// stable.
 const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
-/// The longest pause is also at most the drain grace time divided by this: the node counts as notified of a
-/// change as soon as the local agent learns of it, even while no watch is open.
+/// The longest pause is also at most the drain grace time divided by this. The node counts as notified of a
+/// change as soon as the local agent learns of it, even while no watch is open, so the watch must be open
+/// again well before the drain grace time has passed.
 const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
 /// Maximum number of superseded calls that are still open; each holds a descriptor of the node's reserve.
 const MAX_SUPERSEDED_CALLS: usize = 3;
@@ -41,9 +46,10 @@
     List(ListUpdate),
     /// The complete entries of a list that was truncated.
     PartialList(ListUpdate),
-    /// The first list, or the line that stands for no change, has been received.
+    /// The first list, or the empty line that stands for no change, has been received.
     Synchronized,
-    /// The call failed or the watch ended; `since_last_contact` is the time without contact.
+    /// The call failed or the watch ended; `since_last_contact` is the time for which changes may have been
+    /// missed.
     Failed { failure: DiscoveryFailure, since_last_contact: Duration },
 }
 
@@ -79,8 +85,9 @@
     index: Arc<AtomicU64>,
     event_sender: mpsc::Sender<NodeEvent>,
     watch: Option<CallTask>,
-    /// Watches that the present one has superseded. They stay open until it is answered: the node counts as
-    /// notified of what discovery writes to them, and the new call may be queued or rejected.
+    /// Watches that the present watch has superseded. They stay open until the present one is answered: the
+    /// node counts as notified of changes that discovery writes to them, and the new call may be queued or
+    /// rejected.
     superseded: VecDeque<CallTask>,
     fetch: Option<CallTask>,
     last_call_id: CallId,
@@ -162,10 +169,11 @@
         self.index.store(index, Ordering::Relaxed);
     }
 
-    /// Opens a watch, which supersedes an open one, or closes all watches.
+    /// Opens a watch, which supersedes an open one; closes all watches if `subscribed` is `false`.
     pub fn subscribe(&mut self, subscribed: bool) {
         let call_parameters = self.new_watch_call();
         if !subscribed {
+            // Creating the call has moved the open watch to `superseded`.
             return self.superseded.clear();
         }
         let (id, index) = (call_parameters.id, self.index.clone());
@@ -200,8 +208,9 @@
     }
 
     /// Returns the parameters of a new watch at the present address of discovery, and supersedes the open
-    /// watch. After a move, the version is reset, so that the complete list is requested: a new discovery
-    /// counts versions in its own way, and after a version of the former one it might never send a change.
+    /// watch. After a move, the version is reset, so that the complete list is requested: the new discovery
+    /// has its own version numbers, and might never send a change to a watch that asks for changes after a
+    /// version of the former discovery.
     fn new_watch_call(&mut self) -> CallParameters {
         self.superseded.extend(self.watch.take());
         if self.superseded.len() > MAX_SUPERSEDED_CALLS {
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -20,10 +20,10 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time within which discovery, which queues calls, must send the head of its response. The node counts as
-/// notified of a change 6 s after discovery stopped responding, and the call after one that timed out may
-/// time out too: this limit and `WATCH_IDLE_TIMEOUT` leave time for a third call.
+/// notified of a change 6 s after discovery stopped responding. If a watch times out and the next call does
+/// too, this limit and `WATCH_IDLE_TIMEOUT` still leave time for a third call.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time after which a watch without a list or an empty line is dead; discovery sends a line every 2 s.
+/// Time without a list or an empty line after which a watch has failed; discovery sends a line every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Size of one read from the socket.
 const READ_SIZE_BYTES: usize = 16 * 1024;
@@ -34,7 +34,7 @@
 enum CallError {
     /// The connection was not established: discovery never accepted the call.
     Unreachable(std::io::Error),
-    /// The connection failed.
+    /// The connection failed after it was established.
     Io(std::io::Error),
     /// The response head, or the next list or empty line, did not arrive in time.
     TimedOut,
@@ -104,7 +104,7 @@
 }
 
 impl Call {
-    /// Returns a call that starts now.
+    /// Returns a call that has not been made yet; its time without contact counts from now.
     pub fn new(id: CallId, address: SocketAddr, event_sender: mpsc::Sender<NodeEvent>) -> Self {
         Call { id, address, event_sender, last_contact_at: Instant::now(), synchronized: false }
     }
@@ -116,8 +116,8 @@
         self.report_end(result).await;
     }
 
-    /// Like [`Self::watch`], but does not report the end of the watch, and logs it only if something was
-    /// received.
+    /// Like [`Self::watch`], but does not report the end of the watch, and logs a failure only if a list or
+    /// an empty line was received before it.
     pub async fn watch_quietly(mut self, index: &AtomicU64) {
         let result = self.receive_lists(&watch_path(index)).await;
         if let Err(e) = result
@@ -139,7 +139,8 @@
         let _ = self.event_sender.send(NodeEvent::Discovery(self.id, event)).await;
     }
 
-    /// Logs how the call ended, and reports the failure, which determines when the next call is made.
+    /// Logs how the call ended, and reports the end as a failure, even if there was no error. The kind of
+    /// failure determines when the next call is made.
     async fn report_end(&self, result: Result<(), CallError>) {
         match &result {
             Ok(()) => log("discovery: watch ended"),
@@ -185,7 +186,8 @@
         raw: &mut BytesMut,
         body: &mut Body,
     ) -> Result<(), CallError> {
-        // A fixed deadline: bytes that trickle in without completing a list do not extend it.
+        // Only a complete list or an empty line extends the deadline; bytes that trickle in without completing
+        // a list do not.
         let mut read_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
         loop {
             body.consume(raw)?;
@@ -249,7 +251,7 @@
     }
 }
 
-/// Reads until the head of the response is complete, and removes it from `raw`.
+/// Reads until the head of the response is complete, and removes the head from `raw`.
 async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
     let read_deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
     loop {
@@ -273,7 +275,7 @@
     content: BytesMut,
     /// Decoder for a chunked body.
     chunked_decoder: Option<ChunkedDecoder>,
-    /// Bytes still to come of a body with a content length; `usize::MAX` at first for a body without one.
+    /// Bytes still to come of a body that is not chunked; at first `usize::MAX` if no length is stated.
     remaining_bytes: usize,
     /// Whether the body is complete.
     ended: bool,
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -30,11 +30,11 @@
     /// Cell of the server.
     #[serde(default)]
     pub group: u16,
-    /// `active`, `left`, or any other value for a server that drains.
+    /// `active` for a server that accepts requests, `left` for a removed one; any other value means draining.
     pub status: String,
     #[serde(default = "default_weight")]
     pub weight: f32,
-    /// Time of the last start of its process, in milliseconds of Unix time; 0 means long ago.
+    /// Time at which the server's process last started, in milliseconds of Unix time; 0 means long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedList;
 
-/// The result of parsing the start of a response.
+/// The result of parsing the part of a response body that has been received.
 #[derive(Debug, Default)]
 pub struct ParsedLists {
     /// The complete lists.
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -1,6 +1,6 @@
 //! The event loop, which owns the decision module: it turns input into events for that module and the
-//! module's actions into I/O. It makes no decisions of its own, except where a limit on sockets or memory
-//! leaves no choice; a comment marks each such place.
+//! module's actions into I/O. The event loop makes no decisions of its own, except where a limit on sockets
+//! or memory leaves no choice; comments that begin with "Limit on" mark these places.
 
 mod server_lists;
 
@@ -46,7 +46,7 @@
     Terminate,
 }
 
-/// The node's only clock: starts at Unix time, in microseconds, and is monotonic from then on.
+/// The node's only clock, in microseconds: set to Unix time when the node starts, and monotonic from then on.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start_instant: Instant,
@@ -54,7 +54,7 @@
 }
 
 impl Clock {
-    /// Returns a clock that starts now.
+    /// Returns a clock that shows the present Unix time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start_instant: Instant::now(), unix_start: since_epoch.as_micros() as Micros }
@@ -71,7 +71,8 @@
     }
 }
 
-/// Time after SIGTERM during which connections are still accepted: new ones arrive for up to 0.4 s.
+/// Time after SIGTERM during which connections are still accepted, because clients may open new ones for up
+/// to 0.4 s after it.
 const ACCEPT_AFTER_TERMINATE_US: Micros = 450_000;
 /// A draining node exits no later than the longest deadline of a class plus this margin.
 const DRAIN_MARGIN_US: Micros = 550_000;
@@ -85,15 +86,15 @@
 enum NodeTimer {
     /// A timer of the decision module, with its token.
     Policy(u32),
-    /// Time-out of an attempt.
+    /// Time-out of an attempt, identified by its request and its number.
     AttemptTimeout(RequestId, u16),
     /// Deadline of a request.
     RequestDeadline(RequestId),
     /// Close server connections that have been idle for too long.
     IdleSweep,
-    /// Stop accepting client connections and close those that are idle.
+    /// Stop accepting client connections, and close each one when it has no open request.
     BeginDrain,
-    /// Exit if every request is answered and no client is connected.
+    /// Exit if every request is finished and no client is connected, or if the drain deadline has passed.
     DrainCheck,
 }
 
@@ -101,9 +102,11 @@
     command: Command,
     client: ClientId,
     liveness: ClientLiveness,
+    /// Position of the request's reply among the replies of its connection.
     reply_index: u64,
     reply_sender: mpsc::Sender<ClientReply>,
-    /// Held until the request is finished, since until then its value may have to be sent.
+    /// Memory for the request, reserved until the request is finished: until then an attempt may have to send
+    /// its value.
     reservation: Option<MemoryReservation>,
     deadline: Micros,
     attempts_sent: u16,
@@ -116,6 +119,7 @@
 struct Attempt {
     server: ServerId,
     sent_at: Micros,
+    /// 0 if the attempt has no connection; the ids of connections start at 1.
     conn_id: ConnId,
 }
 
@@ -124,6 +128,7 @@
     deployment: Arc<Deployment>,
     clock: Clock,
     policy: Policy,
+    /// Events that have not been passed to the decision module yet.
     queued_events: VecDeque<Event>,
     timers: BinaryHeap<Reverse<(Micros, NodeTimer)>>,
     open_requests: HashMap<RequestId, OpenRequest>,
@@ -177,8 +182,7 @@
         }
     }
 
-    /// Runs until the node has drained. `no_clients_connected` returns whether the last client has
-    /// disconnected.
+    /// Runs until the node has drained. `no_clients_connected` returns whether no client is connected.
     pub async fn run(
         mut self,
         mut event_receiver: mpsc::Receiver<NodeEvent>,
@@ -243,6 +247,7 @@
             }
             NodeEvent::Connection(conn_id, conn_event) => self.handle_connection_event(conn_id, conn_event),
             NodeEvent::Discovery(call_id, call_event) => self.handle_discovery_event(call_id, call_event),
+            // Limit on sockets: closes a server connection to leave a slot for a client.
             NodeEvent::SlotsLow => self.pool.close_oldest_idle(),
             NodeEvent::Reload(config) => self.reload(&config),
             NodeEvent::Terminate if self.drain_deadline.is_none() => {
@@ -295,6 +300,7 @@
                 self.pool.close_expired_idle(now);
                 self.timers.push(Reverse((now + IDLE_SWEEP_INTERVAL_US, NodeTimer::IdleSweep)));
             }
+            // Handled by `run`.
             NodeTimer::BeginDrain | NodeTimer::DrainCheck => {}
         }
     }
@@ -409,8 +415,8 @@
         self.finish_request(id);
     }
 
-    /// Finishes all requests of a client that has disconnected, and queues the decision module's events for
-    /// them.
+    /// Finishes all requests of a client that has disconnected, and queues an event for the decision module
+    /// for each of them.
     fn finish_client_requests(&mut self, client: ClientId) {
         let unfinished_id = |(id, open_request): (&RequestId, &OpenRequest)| {
             (open_request.client == client && !open_request.finished).then_some(*id)
@@ -478,8 +484,8 @@
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // The attempt may have waited for its connection since the decision to send it. Without this check,
-        // it could be sent to a server that has begun to drain or left, or for a client that has
-        // disconnected.
+        // it could be sent to a server that has begun to drain or was removed from the list, or for a client
+        // that has disconnected.
         let server = self.servers.ready(attempt.server);
         let open_request = self
             .open_requests
@@ -589,8 +595,8 @@
         }
     }
 
-    /// Replaces a connection on which no complete request was sent by a new one; returns `false` if none can
-    /// be opened.
+    /// Closes a connection on which no complete request was sent, and opens a new one for its attempt;
+    /// returns `false` if none can be opened.
     fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
         self.pool.close(conn_id);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return false };
@@ -607,9 +613,9 @@
     fn abandon_attempt(&mut self, attempt_id: AttemptId, status: Status) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         self.pool.close(attempt.conn_id);
-        // The server has not answered anything since this attempt was sent. If its machine has vanished, its
-        // idle connections stay open without ever answering, and each would cost a request its whole
-        // time-out. A new connection reveals the failure within the connect time-out.
+        // If the server has not answered anything since this attempt was sent, its machine may be down. In
+        // that case its idle connections stay open without ever answering, and each would cost a request its
+        // whole time-out. A new connection reveals the failure within the connect time-out.
         if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
             self.pool.close_idle(attempt.server);
         }
--- a/src/bin/pondproxy-node/event_loop/server_lists.rs
+++ b/src/bin/pondproxy-node/event_loop/server_lists.rs
@@ -1,5 +1,5 @@
-//! The part of the event loop that handles events of calls to discovery: which list comes into force, and
-//! what is applied of the other lists.
+//! The part of the event loop that handles events of calls to discovery. A complete list or a change of the
+//! list that a current call receives comes into force; of any other list only the withdrawals are applied.
 
 use pondproxy::{Event, ListKind, Micros};
 
@@ -31,14 +31,14 @@
                 self.apply_withdrawn_servers(&update)
             }
             (CallStatus::Superseded, CallEvent::Failed { .. }) => self.discovery.call_ended(call_id),
-            // The lists of a call are no longer in force once the call that replaces it has been answered.
+            // Only a current call closes superseded ones, and events of an ended call no longer apply.
             (CallStatus::Superseded, CallEvent::Synchronized) | (CallStatus::Ended, _) => {}
         }
     }
 
     /// Applies only the withdrawals of a list that was truncated or that a superseded call received. Such a
     /// list does not come into force, but the node counts as notified of the servers that it lists as
-    /// draining or removed.
+    /// draining or removed: sending to them must stop within the drain grace time.
     fn apply_withdrawn_servers(&mut self, update: &ListUpdate) {
         let changes = self.servers.apply_withdrawals(update, self.clock.now());
         if !changes.entries.is_empty() {
@@ -58,8 +58,8 @@
         self.apply_changes(kind, update.index, changes);
     }
 
-    /// Applies the changes that a list made: logs them, closes idle connections and notifies the decision
-    /// module.
+    /// Applies the changes that a list made: logs them, closes the idle connections to servers that have
+    /// moved or no longer accept requests, and notifies the decision module.
     fn apply_changes(&mut self, kind: ListKind, index: u64, changes: ListChanges) {
         let summary = changes.summary();
         if !summary.is_empty() {
--- a/src/bin/pondproxy-node/http.rs
+++ b/src/bin/pondproxy-node/http.rs
@@ -46,8 +46,8 @@
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                // Rejects a length with a sign and two different lengths: implementations disagree on their
-                // meaning.
+                // Rejects a signed length, and two lengths that differ: HTTP implementations disagree on the
+                // meaning of both.
                 let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
                 let length = value.parse().ok().filter(|_| digits).ok_or(MalformedResponse)?;
                 if head.content_length.is_some_and(|earlier| earlier != length) {
@@ -75,6 +75,7 @@
 /// Decodes a chunked body as its bytes arrive.
 #[derive(Default)]
 pub struct ChunkedDecoder {
+    /// Bytes of the present chunk that are still to come.
     remaining_chunk_bytes: usize,
     /// Whether the line end after the content of a chunk is still to come.
     chunk_end_pending: bool,
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -32,9 +32,10 @@
 use event_loop::{Clock, Node, NodeEvent};
 use memory_budget::MemoryBudget;
 
-/// Capacity of the channel from the connections and calls to the event loop.
+/// Capacity of the channel on which connections, calls to discovery and signal handlers send events to the
+/// event loop.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Maximum number of accepted requests that are not answered yet.
+/// Maximum number of accepted requests that are not answered yet; the settings may set a lower one.
 const MAX_OPEN_REQUESTS: usize = 1024;
 
 /// Writes a line to standard error. A failed write is ignored, because it is no reason to stop the node.
@@ -101,7 +102,7 @@
     match runtime.and_then(|runtime| runtime.block_on(run(config))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log(&format!("cannot listen on {listen}: {e}"));
+            log(&format!("cannot start with listen address {listen}: {e}"));
             ExitCode::from(2)
         }
     }
--- a/src/bin/pondproxy-node/memory_budget.rs
+++ b/src/bin/pondproxy-node/memory_budget.rs
@@ -11,10 +11,11 @@
 const BUFFER_OVERHEAD_FACTOR: usize = 2;
 /// Unit in which the budget is counted.
 const UNIT_BYTES: usize = 1024;
-/// Pipelined input may use the budget divided by this; the rest is left to accepted requests.
+/// Commands that clients pipeline behind open requests may use at most the budget divided by this; the rest
+/// is left to accepted requests.
 const PIPELINED_DIVISOR: usize = 4;
 
-/// A budget that can be shared by cloning.
+/// A memory budget; its clones share it.
 #[derive(Clone)]
 pub struct MemoryBudget {
     available: Arc<Semaphore>,
--- a/src/bin/pondproxy-node/reload.rs
+++ b/src/bin/pondproxy-node/reload.rs
@@ -13,8 +13,8 @@
 /// Interval between reads of an unusable configuration: the file may be about to be replaced, or there may
 /// have been no free descriptor to read it with.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of reads after a SIGHUP: 2 s in all, well within the 4 s after which the node counts as
-/// notified of a move of discovery.
+/// Maximum number of reads after a SIGHUP. They take 2 s in all, and so end well before the node counts as
+/// notified of a move of discovery, which is after 4 s.
 const MAX_READS: u32 = 20;
 
 /// Sends each new configuration to the event loop. The old one stays in force until a usable one has been
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -1,6 +1,6 @@
 //! Parsing and encoding of RESP2. Implemented here because the available decoders recurse without a limit on
-//! depth and accept any stated length: input from a peer must neither overflow the stack nor cause memory to
-//! be reserved.
+//! depth and accept any stated length: input from a peer must not overflow the stack, and a length that it
+//! only states must not cause memory to be reserved.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -15,7 +15,8 @@
 /// Maximum nesting depth of arrays in a reply.
 const MAX_DEPTH: u8 = 3;
 
-/// The input violates the protocol or a limit. Its framing is lost from here on.
+/// The input violates the protocol or a limit, and cannot be parsed any further: where the next command or
+/// reply begins is unknown.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct ProtocolError(pub &'static str);
 
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Reads a line of a type byte and a length. The outer `None` means incomplete, the inner `None` a null.
+    /// Reads a line that consists of a type byte and a length. The outer `None` means that the line is
+    /// incomplete, the inner `None` that it states a null.
     fn read_length(
         &mut self,
         type_byte: u8,
@@ -128,8 +130,7 @@
     /// Reads the number of arguments of a command; returns `None` while it is incomplete.
     fn read_argument_count(&mut self) -> Result<Option<usize>, ProtocolError> {
         match self.read_length(b'*', MAX_ELEMENTS)? {
-            // Rejected because empty commands have no effect and are cheap to send: this prevents floods of
-            // them.
+            // Prevents floods of empty commands, which have no effect and are cheap to send.
             Some(None | Some(0)) => Err(ProtocolError("empty command")),
             count => Ok(count.flatten()),
         }
@@ -181,10 +182,10 @@
     }
 }
 
-/// Skips commands without keeping them; the input may be split anywhere.
+/// Skips and counts commands without keeping their contents; the input may be split anywhere.
 #[derive(Default)]
 pub struct CommandSkipper {
-    /// The part of a line with a length that has arrived so far.
+    /// The received part of an incomplete line that states a length.
     length_line: Vec<u8>,
     /// Arguments of the present command that have not been skipped yet.
     remaining_arguments: usize,
@@ -213,6 +214,7 @@
                 position += self.read_length_line(&piece[position..])?;
                 continue;
             }
+            // The last two bytes of an argument are its line end, `\r\n`.
             if piece[position] != b"\n\r"[self.remaining_bytes - 1] {
                 return Err(UNTERMINATED_BULK);
             }
@@ -227,7 +229,7 @@
         Ok(command_end)
     }
 
-    /// Reads a line with a length, which may have begun in an earlier piece; returns the number of bytes
+    /// Reads a line that states a length and may have begun in an earlier piece; returns the number of bytes
     /// consumed.
     fn read_length_line(&mut self, input: &[u8]) -> Result<usize, ProtocolError> {
         let earlier_bytes = self.length_line.len();
--- a/src/bin/pondproxy-node/resp/tests.rs
+++ b/src/bin/pondproxy-node/resp/tests.rs
@@ -7,7 +7,7 @@
     let command = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..command.len() {
         let mut part = BytesMut::from(&command[..cut]);
-        assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
+        assert_eq!(take_command(&mut part), Ok(None), "after the first {cut} bytes");
         assert_eq!(part.len(), cut);
     }
     let mut twice = BytesMut::from(&[&command[..], &command[..]].concat()[..]);
@@ -69,7 +69,7 @@
             assert_eq!(
                 (skip_error, skipper.skipped_commands),
                 (parse_error, complete_commands),
-                "{piece_size}: {:?}",
+                "in pieces of {piece_size} bytes, ending in {:?}",
                 String::from_utf8_lossy(bad)
             );
         }
--- a/src/bin/pondproxy-node/server_table.rs
+++ b/src/bin/pondproxy-node/server_table.rs
@@ -13,7 +13,7 @@
 use crate::discovery::{Endpoint, ListUpdate};
 use crate::upstream_pool::Protocol;
 
-/// Further servers in the same log line are only counted.
+/// Maximum number of servers that a log line names; the others are only counted.
 const MAX_SERVERS_PER_LOG_LINE: usize = 8;
 
 /// A listed server.
@@ -21,7 +21,7 @@
     name: Box<str>,
     pub address: SocketAddr,
     pub protocol: Protocol,
-    /// The entry that was passed to the decision module.
+    /// The latest entry that was passed to the decision module.
     entry: ServerEntry,
     /// Time of the last answer of any kind; 0 if there was none.
     pub last_answer_at: Micros,
@@ -116,7 +116,8 @@
         changes
     }
 
-    /// Applies only the entries by which ready servers stop accepting new requests, and removals.
+    /// Applies only withdrawals: entries that state that a ready server no longer accepts requests, and the
+    /// removal of servers that a complete list does not contain.
     pub fn apply_withdrawals(&mut self, update: &ListUpdate, now: Micros) -> ListChanges {
         let mut changes = ListChanges::default();
         for endpoint in &update.endpoints {
@@ -141,6 +142,7 @@
         entry.state != ServerState::Ready && self.ready(id).is_some_and(|server| !is_earlier_process(server))
     }
 
+    /// Deletes from the table the servers that `changes` states as removed.
     fn delete_removed_servers(&mut self, changes: &ListChanges) {
         for entry in changes.entries.iter().filter(|entry| entry.state == ServerState::Removed) {
             self.servers.remove(&entry.id);
@@ -177,6 +179,7 @@
     }
 
     fn server_entry(&self, id: ServerId, endpoint: &Endpoint, now: Micros) -> ServerEntry {
+        // A zone or machine type that the settings do not name gets the highest index.
         let index_of = |names: &[String], name: &String| names.iter().position(|candidate| candidate == name);
         ServerEntry {
             id,
@@ -195,7 +198,8 @@
         }
     }
 
-    /// Marks servers that a complete list does not contain as removed.
+    /// Adds the removal of each server that a complete list does not contain to `changes`; the server itself
+    /// stays in the table.
     fn record_unlisted_as_removed(&mut self, endpoints: &[Endpoint], changes: &mut ListChanges) {
         let listed: HashSet<_> = endpoints.iter().map(server_id).collect();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
