--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -186,8 +186,8 @@
         raw: &mut BytesMut,
         body: &mut Body,
     ) -> Result<(), CallError> {
-        // Only a complete list or an empty line extends the deadline; bytes that trickle in without completing
-        // a list do not.
+        // Only a complete list or an empty line extends the deadline; bytes that trickle in without
+        // completing a list do not.
         let mut read_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
         loop {
             body.consume(raw)?;
