--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -32,9 +32,10 @@
 use event_loop::{Clock, Node, NodeEvent};
 use memory_budget::MemoryBudget;
 
-/// Capacity of the channel from the connections and calls to the event loop.
+/// Capacity of the channel on which connections, calls to discovery and signal handlers send events to the
+/// event loop.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Maximum number of accepted requests that are not answered yet.
+/// Maximum number of accepted requests that are not answered yet; the settings may set a lower one.
 const MAX_OPEN_REQUESTS: usize = 1024;
 
 /// Writes a line to standard error. A failed write is ignored, because it is no reason to stop the node.
@@ -48,7 +49,7 @@
     let clock = Clock::start();
     let connection_slots = ConnectionSlots::new(config.sockets);
     let mut terminate_signals = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
-    let hangup = signal(SignalKind::hangup())?;
+    let hangup_signals = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
     log(&format!("listening on {}", listener.local_addr()?));
     let deployment = Arc::new(config.deployment.clone());
@@ -79,7 +80,7 @@
         tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         let _ = signal_event_sender.send(NodeEvent::Terminate).await;
     });
-    tokio::spawn(reload::reload_on_sighup(hangup, event_sender.clone()));
+    tokio::spawn(reload::reload_on_sighup(hangup_signals, event_sender.clone()));
     let slots = connection_slots.clone();
     let no_clients_connected = move || slots.no_clients();
     Node::new(config, deployment, clock, event_sender, connection_slots, memory)
@@ -101,7 +102,7 @@
     match runtime.and_then(|runtime| runtime.block_on(run(config))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log(&format!("cannot listen on {listen}: {e}"));
+            log(&format!("cannot start with listen address {listen}: {e}"));
             ExitCode::from(2)
         }
     }
