--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -36,7 +36,7 @@
     let Some(value) = resp::take_value(buffer, max_value_bytes).map_err(|_| MalformedReply)? else {
         return Ok(None);
     };
-    let reply = |status| ServerReply {
+    let empty_reply = |status| ServerReply {
         status,
         lookup: CacheLookup::NotReported,
         load: LoadReport::default(),
@@ -51,13 +51,13 @@
                 return Err(MalformedReply);
             };
             // A load report or lookup that cannot be parsed counts as not reported; the reply is still valid.
-            let text = |text: &Option<Bytes>| {
+            let to_text = |text: &Option<Bytes>| {
                 text.as_ref().and_then(|t| std::str::from_utf8(t).ok()).unwrap_or("").to_owned()
             };
             let (lookup, load) =
-                (parse_lookup(&text(&lookup_word)), parse_load_report(&text(&report), load_names));
+                (parse_lookup(&to_text(&lookup_word)), parse_load_report(&to_text(&report), load_names));
             let status = if value.is_some() { Status::Success } else { Status::Miss };
-            ServerReply { lookup, load, value, ..reply(status) }
+            ServerReply { lookup, load, value, ..empty_reply(status) }
         }
         Value::Error(line) => {
             let line = std::str::from_utf8(&line).map_err(|_| MalformedReply)?;
@@ -68,7 +68,7 @@
                 _ => return Err(MalformedReply),
             };
             let last_word = line.rsplit(' ').next().unwrap_or("");
-            ServerReply { load: parse_load_report(last_word, load_names), ..reply(status) }
+            ServerReply { load: parse_load_report(last_word, load_names), ..empty_reply(status) }
         }
         // Not part of the protocol: no later input of this connection can be matched to a request.
         _ => return Err(MalformedReply),
@@ -88,14 +88,14 @@
 /// Parses a load report: `name=value` pairs, put in the order of the names in the settings.
 pub fn parse_load_report(text: &str, field_names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
-    for (slot, name) in field_names.iter().take(load.values.len()).enumerate() {
-        let pair = text.split(',').filter_map(|pair| pair.split_once('='));
-        let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
+    for (index, name) in field_names.iter().take(load.values.len()).enumerate() {
+        let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
+        let value = pairs.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
         // A value that is missing, not a number, infinite or negative makes the whole report unusable.
         let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
             return LoadReport::default();
         };
-        load.values[slot] = value;
+        load.values[index] = value;
         load.count += 1;
     }
     load
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -199,7 +199,7 @@
 enum SessionEnd {
     /// The client has disconnected or does not read its replies, or the connection must close with replies
     /// pending.
-    Disconnected,
+    Aborted,
     /// The node closes the connection, between requests or after input that cannot be processed further.
     Closed,
 }
@@ -333,11 +333,11 @@
                         continue;
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    Err(_) => return SessionEnd::Disconnected,
+                    Err(_) => return SessionEnd::Aborted,
                 }
             }
-            let owes_reply = !self.pending_replies.is_empty() || self.pending_write.is_some();
-            if !owes_reply && self.input_abandoned {
+            let has_unwritten_replies = !self.pending_replies.is_empty() || self.pending_write.is_some();
+            if !has_unwritten_replies && self.input_abandoned {
                 return SessionEnd::Closed;
             }
             let draining = *phase.borrow() == Phase::Draining;
@@ -359,7 +359,7 @@
                 // Without this, requests of a client that has disconnected would be forwarded: it may
                 // disconnect while commands are not accepted, and while its requests wait in the buffer
                 // nothing may be forwarded for it.
-                return SessionEnd::Disconnected;
+                return SessionEnd::Aborted;
             }
             // A disconnect is only visible after all input before it was read, so input that cannot be
             // buffered is skipped.
@@ -377,7 +377,7 @@
             });
             let (memory_wait_deadline, next_discard_at) =
                 (self.memory_wait_deadline, self.next_discard_at.max(Instant::now()));
-            let between_requests = !owes_reply && self.input.is_empty() && !unread;
+            let between_requests = !has_unwritten_replies && self.input.is_empty() && !unread;
             let requested_eviction = self.client_slot.eviction_requested();
             self.input_rechecked &= requested_eviction.is_some();
             // A peer that keeps sending commands that are not requests is not waited for.
@@ -401,7 +401,7 @@
                         return SessionEnd::Closed;
                     }
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
-                    _ if owes_reply => return SessionEnd::Disconnected,
+                    _ if has_unwritten_replies => return SessionEnd::Aborted,
                     // A request that crosses the close on the network would be lost without a reply. The
                     // refusal is sent first, so that the client finds an answer; the request itself is never
                     // read.
@@ -430,7 +430,7 @@
                 () = tokio::task::yield_now(), if unread && !discards_input && !lacks_memory => {
                     let now = self.context.clock.now();
                     if closed_by_client(self.socket.read(|chunk| self.input.add(chunk, now))) {
-                        return SessionEnd::Disconnected;
+                        return SessionEnd::Aborted;
                     }
                 }
                 () = sleep_until(next_discard_at), if unread && discards_input => {
@@ -440,7 +440,7 @@
                     if closed_by_client(self.socket.read_discarded(
                         |chunk| if !self.input_abandoned { self.input.add(chunk, 0) }
                     )) {
-                        return SessionEnd::Disconnected;
+                        return SessionEnd::Aborted;
                     }
                 }
                 reservation = memory.reserve(2 * resp::MAX_VALUE_BYTES), if lacks_memory =>
@@ -449,7 +449,7 @@
                     self.input.start_skipping(),
                 readiness = self.socket.wait_ready(self.pending_write.is_some()) => {
                     if readiness.is_err() {
-                        return SessionEnd::Disconnected;
+                        return SessionEnd::Aborted;
                     }
                 }
                 _ = phase.changed(), if !draining => {}
@@ -468,7 +468,7 @@
                     self.queue_reply("-ERR no whole command in time\r\n");
                 }
                 () = sleep_until_deadline(write_deadline), if write_deadline.is_some() =>
-                    return SessionEnd::Disconnected,
+                    return SessionEnd::Aborted,
                 () = sleep_until(self.idle_since + IDLE_TIMEOUT),
                     if between_requests && self.first_reply_index > 0 =>
                     return SessionEnd::Closed,
@@ -585,11 +585,11 @@
                 };
                 // The limit of open requests or the memory budget is exhausted, so the request is refused and
                 // was never forwarded.
-                let value = command.value.as_ref().map_or(0, Bytes::len);
+                let value_length = command.value.as_ref().map_or(0, Bytes::len);
                 let Some((permit, reservation)) =
                     self.context.request_permits.clone().try_acquire_owned().ok().zip(
                         // The value, and its copy that is sent to the origin.
-                        self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value),
+                        self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value_length),
                     )
                 else {
                     return self.queue_reply(BUSY_REPLY);
--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -83,16 +83,16 @@
     }
 
     /// Reads a chunk of the available input; returns 0 at its end.
-    pub fn read(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
-        self.read_into(&mut [0; READ_CHUNK_BYTES], take)
+    pub fn read(&mut self, on_chunk: impl FnOnce(&[u8])) -> io::Result<usize> {
+        self.read_into(&mut [0; READ_CHUNK_BYTES], on_chunk)
     }
 
     /// Reads a longer chunk of input that the caller does not keep.
-    pub fn read_discarded(&mut self, take: impl FnOnce(&[u8])) -> io::Result<usize> {
-        self.read_into(&mut [0; DISCARD_CHUNK_BYTES], take)
+    pub fn read_discarded(&mut self, on_chunk: impl FnOnce(&[u8])) -> io::Result<usize> {
+        self.read_into(&mut [0; DISCARD_CHUNK_BYTES], on_chunk)
     }
 
-    fn read_into(&mut self, chunk: &mut [u8], take: impl FnOnce(&[u8])) -> io::Result<usize> {
+    fn read_into(&mut self, chunk: &mut [u8], on_chunk: impl FnOnce(&[u8])) -> io::Result<usize> {
         // Does not read through tokio, because the readiness was consumed and tokio would report that nothing
         // can be read.
         let read = stream_io::read_now(&self.stream, chunk);
@@ -105,7 +105,7 @@
             }
             Err(_) => false,
         };
-        take(&chunk[..*read.as_ref().unwrap_or(&0)]);
+        on_chunk(&chunk[..*read.as_ref().unwrap_or(&0)]);
         read
     }
 
--- a/src/bin/pondproxy-node/command_buffer/tests.rs
+++ b/src/bin/pondproxy-node/command_buffer/tests.rs
@@ -18,12 +18,12 @@
 #[test]
 fn command_carries_the_time_at_which_its_last_byte_was_read() {
     let mut input = CommandBuffer::new(MemoryBudget::new(32));
-    let all = encode_pings(0, 3);
-    let command_length = all.len() / 3;
-    input.add(&all[..command_length - 1], 10);
+    let all_commands = encode_pings(0, 3);
+    let command_length = all_commands.len() / 3;
+    input.add(&all_commands[..command_length - 1], 10);
     assert_eq!(input.next(), None);
-    input.add(&all[command_length - 1..2 * command_length], 20);
-    input.add(&all[2 * command_length..], 30);
+    input.add(&all_commands[command_length - 1..2 * command_length], 20);
+    input.add(&all_commands[2 * command_length..], 30);
     assert_eq!([0; 3].map(|_| describe(input.next())), ["0000 at 20", "0001 at 20", "0002 at 30"]);
     assert_eq!(input.next(), None);
     assert!(input.is_empty());
@@ -32,12 +32,12 @@
 #[test]
 fn commands_beyond_the_buffer_are_counted_in_order_and_later_commands_are_buffered_again() {
     let mut input = CommandBuffer::new(MemoryBudget::new(32));
-    let all = encode_pings(0, 100);
+    let all_commands = encode_pings(0, 100);
     // The last buffered command is incomplete, so it is skipped as a whole.
-    let cut = all.len() / 100 * 50 + 3;
-    input.add(&all[..cut], 1);
+    let cut = all_commands.len() / 100 * 50 + 3;
+    input.add(&all_commands[..cut], 1);
     input.start_skipping();
-    all[cut..].chunks(10).for_each(|chunk| input.add(chunk, 2));
+    all_commands[cut..].chunks(10).for_each(|chunk| input.add(chunk, 2));
     for n in 0..50 {
         assert_eq!(describe(input.next()), format!("{n:04} at 1"));
     }
--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -252,9 +252,9 @@
     /// `threshold`.
     fn evict_idle_above(&mut self, threshold: usize) {
         let now = Instant::now();
-        let may_be_idle =
+        let is_remaining_client =
             |entry: &&mut ClientEntry| !entry.closing && !matches!(entry.state, ClientState::Unclassified(_));
-        let clients: Vec<_> = self.clients.values_mut().filter(may_be_idle).collect();
+        let clients: Vec<_> = self.clients.values_mut().filter(is_remaining_client).collect();
         let surplus = clients.len().saturating_sub(threshold);
         let evictable =
             clients.into_iter().filter_map(|entry| Some((entry.state.eviction_rank(now)?, entry)));
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -9,7 +9,7 @@
 use crate::upstream_pool::{MalformedReply, ServerReply};
 
 /// Maximum number of interim responses (1xx) before the final one.
-const MAX_INTERIM: usize = 8;
+const MAX_INTERIM_RESPONSES: usize = 8;
 
 /// Encodes a client's command for the origin. Like a cache server the origin is told the time that is left
 /// now, because a fetch follows a cache miss or has waited at the gate.
@@ -40,7 +40,7 @@
     // Interim responses stay in the buffer until the final one has arrived, so that they are counted again on
     // each call. This stops a server that sends them without end.
     let mut interim_bytes = 0;
-    let mut allowed_heads = 0..=MAX_INTERIM;
+    let mut allowed_heads = 0..=MAX_INTERIM_RESPONSES;
     let head = loop {
         allowed_heads.next().ok_or(MalformedReply)?;
         let Some(head) = http::head(&buffer[interim_bytes..]).map_err(|_| MalformedReply)? else {
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -156,10 +156,10 @@
             // Connections are listed in the order in which they became idle: this takes the most recently
             // used one whose `REUSE_DELAY_US` has passed.
             let conns = &self.conns;
-            let reusable = |id: &ConnId| {
+            let usable_or_closed = |id: &ConnId| {
                 conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.is_open())
             };
-            let id = idle.iter().rposition(reusable).map(|index| idle.remove(index))?;
+            let id = idle.iter().rposition(usable_or_closed).map(|index| idle.remove(index))?;
             match self.conns.get_mut(&id) {
                 Some(conn) if now < conn.idle_since + self.idle_limit && conn.is_open() => {
                     conn.attempt = Some(attempt);
