--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -67,6 +67,7 @@
                 Some("ERR") => Status::Error,
                 _ => return Err(MalformedReply),
             };
+            // The last word of an error may be a load report.
             let last_word = line.rsplit(' ').next().unwrap_or("");
             ServerReply { load: parse_load_report(last_word, load_names), ..empty_reply(status) }
         }
@@ -85,7 +86,7 @@
     }
 }
 
-/// Parses a load report: `name=value` pairs, put in the order of the names in the settings.
+/// Parses a load report of `name=value` pairs. The result has the values in the order of `field_names`.
 pub fn parse_load_report(text: &str, field_names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (index, name) in field_names.iter().take(load.values.len()).enumerate() {
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -24,21 +24,25 @@
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp;
 
-/// Maximum number of pending replies of one connection before its first reply shows how long replies are.
-/// Further commands wait in the buffer or are refused.
+/// Maximum number of pending replies of one connection until its first request has been answered, which shows
+/// how long its replies are. Further commands wait in the buffer, or are skipped and answered with `-BUSY`.
 const INITIAL_PIPELINE_LENGTH: usize = 16;
 /// Maximum number of pending replies of one connection however short its replies are.
 const MAX_PIPELINE_LENGTH: usize = 64;
-/// The pending replies of one connection may take up to the node's memory budget divided by this.
+/// The pending replies of one connection may together take the node's memory budget divided by this, if each
+/// is as long as the connection's longest reply so far.
 const PIPELINE_MEMORY_DIVISOR: usize = 16;
-/// Time after acceptance within which a connection must have sent a complete command, or it is closed. This
-/// limit and the next two are fixed points in time, so a client that sends single bytes does not extend them.
+/// Time after acceptance within which a connection must have sent a complete command, or it is closed.
+/// Neither this time-out nor the next two start again with each byte, so a client that sends or reads single
+/// bytes does not extend them.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// Time after its first byte within which a command must be complete.
+/// Time within which a command must be complete, counted from when the session finds the command's beginning
+/// in the buffer, or from when earlier commands no longer keep it from being read.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time within which a reply must be written completely, counted from when it is the next one to write.
+/// Time within which a reply must be written completely, counted from when its writing starts.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time without an open request after which a connection is closed even if nobody needs its slot.
+/// Time after its last reply after which an idle connection is closed even if nobody needs its slot. Replies
+/// to commands that are not requests, such as `PING`, count too.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Maximum time for which input is read and discarded after the last reply of a connection that the node
 /// closes because of an error.
@@ -46,22 +50,25 @@
 /// Maximum number of bytes that are read and discarded in that time.
 const LINGER_MAX_BYTES: usize = 256 * 1024;
 /// Maximum time for which a long command waits for memory while other requests of its connection are open. It
-/// is short because a client's disconnect cannot be seen behind unread input.
+/// is short because a client's disconnect may not be visible until the input before it has been read.
 const LONG_COMMAND_MEMORY_WAIT: Duration = Duration::from_millis(20);
-/// Pause between two reads of input that is discarded. Limits what a flooding client costs the others.
+/// Minimum pause between two reads of input that is discarded. Limits the processing time that a flooding
+/// client takes from other connections.
 const DISCARD_PAUSE: Duration = Duration::from_millis(1);
-/// Precision of the runtime's timers; a discard that is late by less does not lengthen the pause.
+/// Precision of the runtime's timers; a discarding read that starts late by no more than this does not
+/// lengthen the pause.
 const TIMER_PRECISION: Duration = Duration::from_millis(2);
-/// The pause between discards grows by this many times the lateness of the last one, so that many flooding
-/// connections together take no more time than one may.
+/// The pause after a discarding read is lengthened by this factor times the time by which that read started
+/// late. Reads start late when the node is busy, so many flooding connections together take no more
+/// processing time than one may.
 const DISCARD_LATENESS_FACTOR: u32 = 4;
-/// Maximum pause between discards.
+/// Maximum pause between two discarding reads.
 const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
 /// Reply to a command that was refused and never forwarded.
 const BUSY_REPLY: &str = "-BUSY\r\n";
 /// Maximum number of busy replies that are written at once.
 const MAX_BUSY_REPLIES_PER_WRITE: u64 = 512;
-/// Maximum length of a key, an id and a list of facts.
+/// Maximum length of each of a command's key, id and list of facts.
 const MAX_WORD_BYTES: usize = 512;
 /// Maximum time left (`d`) that a client may state, unless its class has a longer deadline.
 const MAX_TIME_LEFT_MS: f64 = 60_000.0;
@@ -75,7 +82,7 @@
     pub phase: watch::Receiver<Phase>,
     /// The table that limits the number of connections.
     pub connection_slots: Arc<ConnectionSlots>,
-    /// Permits for open requests; each is held until the reply is passed on for writing.
+    /// Permits for open requests; each is held until the session has received the reply.
     pub request_permits: Arc<Semaphore>,
     /// The memory budget of the node.
     pub memory: MemoryBudget,
@@ -106,7 +113,7 @@
 /// Phase of the life of a node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// No list of servers has arrived yet.
+    /// No server list with a server that accepts requests has arrived yet.
     Starting,
     /// The node accepts requests.
     Ready,
@@ -114,16 +121,20 @@
     Draining,
 }
 
-/// A parsed command of a client.
+/// A parsed `OBJ.GET` or `OBJ.SET` command of a client, with the facts that the node uses.
 #[derive(Debug, Clone, Default)]
 pub struct Command {
     pub write: bool,
     pub key: Bytes,
     pub id: Bytes,
+    /// All facts as the client sent them.
     pub facts: String,
     pub value: Option<Bytes>,
+    /// Index of the class in the settings.
     pub class: usize,
+    /// Index of the tenant in the settings; 0 if there are none.
     pub tenant: usize,
+    /// Time left when the command was received, limited by the deadline of the class.
     pub time_left: Micros,
     pub client_retry: bool,
     pub expected_work: Option<Micros>,
@@ -131,7 +142,8 @@
 }
 
 impl Command {
-    /// Returns the key as the decision module knows it, the same on every node.
+    /// Returns the key for the decision module: the value of a key of 16 hexadecimal digits, and the hash of
+    /// any other. It is the same on every node, and never 0, which means that a request has no key.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok();
         let hex = text.filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
@@ -139,7 +151,7 @@
     }
 }
 
-/// A command on its way to the event loop, and where its reply goes.
+/// A client's request for the event loop, and where to send the reply.
 #[derive(Debug)]
 pub struct ClientRequest {
     pub command: Command,
@@ -147,13 +159,14 @@
     pub client: ClientId,
     /// Tells whether the client is still connected.
     pub liveness: ClientLiveness,
+    /// Identifies the pending reply among those of its connection.
     pub reply_index: u64,
     pub reply_sender: mpsc::Sender<ClientReply>,
     /// Memory for the request: its value, and the copy of the value that is sent to the origin.
     pub reservation: MemoryReservation,
 }
 
-/// The reply to one of a connection's pending commands, and the memory that it holds.
+/// The reply to one of a connection's open requests, and the memory that is reserved for the reply.
 #[derive(Debug)]
 pub struct ClientReply {
     pub reply_index: u64,
@@ -161,7 +174,8 @@
     pub reservation: Option<MemoryReservation>,
 }
 
-/// Accepts connections until the node drains, and then those that the kernel has already accepted.
+/// Accepts connections until the node drains, and then the connections that are left in the kernel's accept
+/// queue.
 pub async fn listen(listener: TcpListener, context: Arc<SessionContext>) {
     let mut phase = context.phase.clone();
     loop {
@@ -197,8 +211,8 @@
 /// Why a session ends.
 #[derive(Debug, PartialEq)]
 enum SessionEnd {
-    /// The client has disconnected or does not read its replies, or the connection must close with replies
-    /// pending.
+    /// The connection ends at once, and pending replies are dropped: the client has disconnected or does not
+    /// read its replies, or the connection is evicted while replies are pending.
     Aborted,
     /// The node closes the connection, between requests or after input that cannot be processed further.
     Closed,
@@ -234,8 +248,8 @@
     if session_end == SessionEnd::Closed && input_abandoned {
         socket.lingering_close(LINGER_TIMEOUT, LINGER_MAX_BYTES).await;
     }
-    // Dropping the socket ends the client's liveness: no attempt is sent for it from here on, even while the
-    // event below waits in the queue.
+    // Once the socket is dropped, `ClientLiveness` reports the client as disconnected: no attempt is sent for
+    // it from here on, even while the event below waits in the queue.
     drop(socket);
     if pending_replies.iter().any(PendingReply::is_open) {
         let _ = context.event_sender.send(NodeEvent::ClientDisconnected(client_slot.id())).await;
@@ -284,17 +298,19 @@
     /// Index of the first pending reply; 0 until a reply has been taken for writing.
     first_reply_index: u64,
     /// No more commands are accepted: the framing of the input is lost, a time limit has passed, or the
-    /// connection was refused on eviction.
+    /// connection is evicted with a busy reply.
     input_abandoned: bool,
     /// Whether the socket was checked once more for input since the connection was asked to close.
     input_rechecked: bool,
-    /// Length of the longest reply so far.
+    /// Length of the longest reply that the event loop has sent so far; 0 before the first.
     longest_reply_bytes: usize,
-    /// When the command that is being received must be complete; `None` if none has begun.
+    /// When the command that is being received, or a connection's first command, must be complete; `None` if
+    /// neither is awaited.
     command_deadline: Option<Instant>,
-    /// When the last reply was written completely.
+    /// When the last reply was written completely, or when the session started.
     idle_since: Instant,
-    /// When the connection will have been idle for `MIN_IDLE_TIME`; `None` once that was handled.
+    /// When the connection will have been without an unwritten reply for `MIN_IDLE_TIME`; `None` once surplus
+    /// idle connections were evicted at that time.
     evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
@@ -345,24 +361,26 @@
                 && self.pending_replies.len() < self.pipeline_limit()
                 && self.pending_write.is_none();
             if !accepts_commands && self.command_deadline.is_some() {
-                // The time limit of an incomplete command does not run while earlier commands block it.
+                // The time-out of an incomplete command does not run while earlier commands keep it from
+                // being read.
                 self.command_deadline = Some(Instant::now() + COMMAND_TIMEOUT);
             }
-            // Commands may together be longer than the memory budget: long ones then wait for memory, with
-            // their bytes in the client's socket buffers, and are refused if they wait for too long.
+            // The commands of all connections may together be longer than the memory budget. Long ones then
+            // wait for memory, with their bytes in the kernel's socket buffers. They are refused if they wait
+            // for longer than `LONG_COMMAND_MEMORY_WAIT` while requests are open.
             let lacks_memory = accepts_commands && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
             let has_open_request = self.pending_replies.iter().any(PendingReply::is_open);
             if self.socket.read_closed()
                 && (has_open_request || !(accepts_commands && !lacks_memory && unread))
             {
-                // Without this, requests of a client that has disconnected would be forwarded: it may
-                // disconnect while commands are not accepted, and while its requests wait in the buffer
-                // nothing may be forwarded for it.
+                // Without this, buffered requests of a client that disconnects while commands are not
+                // accepted would still be forwarded later. Only while no request is open and the rest of the
+                // input can be read at once does the session read on.
                 return SessionEnd::Aborted;
             }
-            // A disconnect is only visible after all input before it was read, so input that cannot be
-            // buffered is skipped.
+            // A disconnect may not be visible until all input before it has been read, so input that cannot
+            // be buffered is skipped.
             if unread
                 && !accepts_commands
                 && !self.input_abandoned
@@ -380,7 +398,8 @@
             let between_requests = !has_unwritten_replies && self.input.is_empty() && !unread;
             let requested_eviction = self.client_slot.eviction_requested();
             self.input_rechecked &= requested_eviction.is_some();
-            // A peer that keeps sending commands that are not requests is not waited for.
+            // Unread input delays an eviction, but not that of a peer that keeps sending commands that are
+            // not requests.
             let sends_no_requests = |eviction: &Eviction| {
                 *eviction == Eviction::Unclassified && self.first_reply_index > MAX_PIPELINE_LENGTH as u64
             };
@@ -402,9 +421,9 @@
                     }
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
                     _ if has_unwritten_replies => return SessionEnd::Aborted,
-                    // A request that crosses the close on the network would be lost without a reply. The
-                    // refusal is sent first, so that the client finds an answer; the request itself is never
-                    // read.
+                    // A request may still be on its way when the connection is closed, and would be lost
+                    // without a reply. So a refusal is sent first, which the client reads as the reply to
+                    // such a request; the request itself is discarded.
                     Eviction::Unclassified | Eviction::NewlyAccepted => {
                         self.input_abandoned = true;
                         self.queue_reply(BUSY_REPLY);
@@ -488,8 +507,8 @@
         }
     }
 
-    /// Handles the complete commands in the buffer. The time limit of an incomplete one starts when this
-    /// finds it.
+    /// Handles the complete commands in the buffer, up to the limit of pending replies and while no reply
+    /// waits to be written. Starts the time-out of an incomplete command.
     async fn take_commands(&mut self) {
         while !self.input_abandoned
             && self.pending_replies.len() < self.pipeline_limit()
@@ -501,7 +520,8 @@
                     self.command_deadline = None;
                     self.handle_command(words, received_at).await;
                 }
-                // There was no memory for these commands, and they were never forwarded.
+                // There was no room in the buffer or the memory budget for these commands, and they were
+                // never forwarded.
                 BufferItem::Skipped(skipped) => {
                     self.command_deadline = None;
                     match self.pending_replies.back_mut() {
@@ -522,7 +542,8 @@
         }
     }
 
-    /// Removes and returns the next reply to write, if the first pending one is ready.
+    /// Removes and returns the bytes to write next, with their reservation, if the first pending reply is
+    /// ready. Busy replies to skipped commands are returned several at a time.
     fn next_reply(&mut self) -> Option<(Bytes, Option<MemoryReservation>)> {
         let reply = match self.pending_replies.front_mut()? {
             PendingReply::Open { .. } => return None,
@@ -563,13 +584,14 @@
             // The decision module cannot be given a request without a valid class.
             Err(error) => self.queue_reply(format!("-ERR {error}\r\n")),
             Ok(command) => {
-                // All connection slots are taken, so the request is refused and was never forwarded. The
+                // Too few connection slots are left, so the request is refused and was never forwarded. The
                 // connection stays open until its slot is needed, because a client that loses its connection
                 // opens a new one.
                 if !self.client_slot.begin_request() {
                     return self.queue_reply(BUSY_REPLY);
                 }
-                // The client has closed its side, so nobody would read the reply.
+                // The client has closed the connection or its sending side. Both count as a disconnect, so
+                // the request is not forwarded.
                 if self.socket.read_closed() {
                     return self.queue_reply(BUSY_REPLY);
                 }
--- a/src/bin/pondproxy-node/client_socket.rs
+++ b/src/bin/pondproxy-node/client_socket.rs
@@ -1,8 +1,8 @@
-//! A client's socket, on which a disconnect is noticed even while its input is not read.
+//! The socket of a connection to the node, on which a disconnect is noticed even while its input is not read.
 //!
-//! tokio reports a socket as readable until its input has been read, so nobody can wait for the disconnect of
-//! a client whose input is left in the kernel. Here each readiness event is consumed once, and a flag records
-//! that input may be unread.
+//! tokio reports a socket as readable until its input has been read, so a task cannot wait for the disconnect
+//! of a client while input is left in the kernel. Here each readiness event is consumed at once, and a flag
+//! records that input may be unread.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -19,15 +19,18 @@
 
 use crate::stream_io::{self, PeekResult};
 
-/// Size of one read of input. A longer command has to wait for memory.
+/// Size of one read of input, and of the input that a connection may buffer without a reservation of memory.
+/// A longer command waits until memory is reserved.
 pub const READ_CHUNK_BYTES: usize = 4096;
 /// Size of one read of input that is discarded.
 const DISCARD_CHUNK_BYTES: usize = 64 * 1024;
 
 /// Maximum time for which an attempt waits until its client's input has been read. The client's disconnect
-/// may follow that input, and the kernel reports it only once it has buffer space for all input before it.
+/// may follow that input, and is reported only once the kernel has buffer space for all input before the
+/// disconnect.
 const MAX_UNREAD_INPUT_WAIT: Duration = Duration::from_millis(50);
 
+/// The socket of a connection to the node, which only its session reads and writes.
 pub struct ClientSocket {
     stream: Arc<TcpStream>,
     /// Whether there may be unread input.
@@ -48,7 +51,7 @@
         ClientLiveness(Arc::downgrade(&self.stream))
     }
 
-    /// Whether there may be input to read.
+    /// Whether there may be unread input. `true` does not mean that there is some: the kernel may have none.
     pub fn unread(&self) -> bool {
         self.unread
     }
@@ -58,12 +61,13 @@
         self.unread = true;
     }
 
-    /// Whether the client has closed the connection or its sending side.
+    /// Whether the client is known to have closed the connection or its sending side.
     pub fn read_closed(&self) -> bool {
         self.read_close_seen || readiness_shows_close(&self.stream)
     }
 
-    /// Waits until input arrives, the client closes or, with `to_write`, something can be written.
+    /// Waits until input arrives, the client closes or, with `to_write`, something can be written. Never
+    /// returns without `to_write` once the client was seen to have closed.
     pub async fn wait_ready(&mut self, to_write: bool) -> io::Result<()> {
         let interest = match (self.read_close_seen, to_write) {
             (false, false) => Interest::READABLE,
@@ -73,8 +77,8 @@
         };
         let ready = self.stream.ready(interest).await?;
         if ready.is_readable() {
-            // Consumes the readiness, so that only later events count as new. A closed sending side stays
-            // closed.
+            // Consumes the readiness, so that only later events count as new. tokio does not clear the
+            // readiness of a closed sending side.
             let consume_readiness = || Err::<(), _>(ErrorKind::WouldBlock.into());
             let _ = self.stream.try_io(Interest::READABLE, consume_readiness);
             (self.unread, self.read_close_seen) = (true, ready.is_read_closed());
@@ -82,12 +86,12 @@
         Ok(())
     }
 
-    /// Reads a chunk of the available input; returns 0 at its end.
+    /// Reads a chunk of the available input and passes it to `on_chunk`; returns 0 at the end of the input.
     pub fn read(&mut self, on_chunk: impl FnOnce(&[u8])) -> io::Result<usize> {
         self.read_into(&mut [0; READ_CHUNK_BYTES], on_chunk)
     }
 
-    /// Reads a longer chunk of input that the caller does not keep.
+    /// As `read`, with a longer chunk, for input that the caller discards.
     pub fn read_discarded(&mut self, on_chunk: impl FnOnce(&[u8])) -> io::Result<usize> {
         self.read_into(&mut [0; DISCARD_CHUNK_BYTES], on_chunk)
     }
@@ -152,22 +156,24 @@
 
 impl ClientLiveness {
     fn peek(&self) -> PeekResult {
-        // A connection that was closed while a request was open has lost its client.
+        // The session has ended and dropped the socket, so the client counts as disconnected.
         let Some(stream) = self.0.upgrade() else { return PeekResult::Closed };
-        // A disconnect behind unread input is known from the runtime's last poll of the kernel.
+        // Shows a disconnect behind unread input, if the kernel had reported it when the runtime last polled.
         if readiness_shows_close(&stream) {
             return PeekResult::Closed;
         }
-        // A disconnect without unread input before it is known from the kernel itself.
+        // Shows a disconnect that has no unread input before it, also one that the runtime has not polled
+        // yet.
         stream_io::peek(&stream)
     }
 
-    /// Whether the client is known to have disconnected.
+    /// Whether the client is known to have disconnected. A client that shuts only its sending side counts as
+    /// disconnected too, and so does one whose session has ended.
     pub fn disconnected(&self) -> bool {
         self.peek() == PeekResult::Closed
     }
 
-    /// Whether the client has disconnected; waits until its input has been read, for at most
+    /// As `disconnected`, but waits until the client's input has been read, for at most
     /// `MAX_UNREAD_INPUT_WAIT`.
     pub async fn disconnected_after_unread_input(&self) -> bool {
         let deadline = Instant::now() + MAX_UNREAD_INPUT_WAIT;
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -14,7 +14,8 @@
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::resp::{self, CommandSkipper, ProtocolError};
 
-/// Limit on buffered commands that wait for earlier ones: the longest command, or some hundred short ones.
+/// Maximum number of buffered bytes of commands that wait for earlier ones: enough for the longest command,
+/// or for some hundred short ones.
 const MAX_BUFFERED_BYTES: usize = resp::MAX_VALUE_BYTES + 3 * READ_CHUNK_BYTES;
 
 /// End position of a chunk in the input, and the time at which the chunk was read.
@@ -41,11 +42,13 @@
     chunk_ends: VecDeque<ChunkEnd>,
     /// Position in the input of the first buffered byte.
     start_position: u64,
-    /// Reserved memory, and how many bytes it allows to be buffered.
+    /// Reserved memory for the input beyond the first `READ_CHUNK_BYTES`.
     reservations: Vec<MemoryReservation>,
+    /// Number of bytes that may be buffered, with and without a reservation.
     reserved_bytes: usize,
-    /// Skips new input. While set, `bytes` holds only complete commands.
+    /// Skips new input. While set, `bytes` holds only complete commands, or ends with malformed input.
     skipper: Option<CommandSkipper>,
+    /// The first error in the skipped input.
     protocol_error: Option<ProtocolError>,
 }
 
@@ -65,12 +68,13 @@
         }
     }
 
-    /// Whether all input was handled.
+    /// Whether all input was handled, skipped input included.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty() && self.skipper.is_none()
     }
 
-    /// Whether a command has begun that is not handled.
+    /// Whether a command has begun that is not handled yet. Also `true` for a complete command that waits in
+    /// the buffer.
     pub fn has_partial_command(&self) -> bool {
         !self.bytes.is_empty() || self.skipper.as_ref().is_some_and(CommandSkipper::has_partial_command)
     }
@@ -91,7 +95,8 @@
         self.reserved_bytes += bytes;
     }
 
-    /// Reserves memory for commands that wait for earlier ones; returns whether there is room.
+    /// Reserves memory for commands that wait for earlier ones if the buffer is full; returns whether there
+    /// is room for more input.
     pub fn try_grow(&mut self) -> bool {
         while self.is_full() && self.reserved_bytes < MAX_BUFFERED_BYTES {
             let Some(reservation) = self.memory.try_reserve_pipelined(READ_CHUNK_BYTES) else { return false };
@@ -103,7 +108,7 @@
     /// Adds a chunk of input that was read at `now`.
     pub fn add(&mut self, chunk: &[u8], now: Micros) {
         if let Some(skipper) = &mut self.skipper {
-            // Input after malformed input has no meaning.
+            // Input after malformed input cannot be parsed.
             if self.protocol_error.is_none() {
                 self.protocol_error = skipper.skip(chunk).err();
             }
@@ -114,7 +119,8 @@
         }
     }
 
-    /// Skips all input except the buffered complete commands, until these are handled.
+    /// Starts to skip all input except the complete commands in the buffer. Skipping ends when these were
+    /// handled, the number of skipped commands was returned, and no skipped command is incomplete.
     pub fn start_skipping(&mut self) {
         let mut skipper = CommandSkipper::default();
         // Malformed input stays in the buffer and is reported by `next` in order.
@@ -124,7 +130,8 @@
         self.skipper = Some(skipper);
     }
 
-    /// Removes and returns the next item, if it is complete.
+    /// Removes and returns the next item; `None` if there is no complete command and nothing to report about
+    /// skipped input.
     pub fn next(&mut self) -> Option<BufferItem> {
         if self.bytes.is_empty() {
             // Releases the reserved memory.
@@ -150,7 +157,8 @@
                 Some(BufferItem::Command(words, received_at))
             }
             Ok(None) => {
-                // A command takes the time of its last byte, which has not arrived yet.
+                // The receive time of a command is that of its last byte, which has not arrived yet, so
+                // earlier times are not needed.
                 self.chunk_ends.clear();
                 None
             }
--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -1,21 +1,23 @@
 //! The node's descriptor budget: which connections may hold a descriptor, and which are evicted for others.
 //!
-//! Three kinds of holder share one table of slots: client connections, on which a request was accepted;
-//! unclassified connections, on which none was accepted so far, so that the peer may not be a client; and
-//! connections to servers. Some descriptors are not in the table: they are reserved for the listener,
-//! discovery, the standard streams and connections that are being closed.
+//! Three kinds of connection share one table of slots: client connections, on which a request was accepted;
+//! unclassified connections, on which none was accepted so far and whose peer may therefore not be a client;
+//! and connections to servers. In names such as `ClientId`, `ClientSlot` and `clients`, "client" stands for
+//! the first two kinds. Some descriptors are not in the table: they are reserved for the listener, discovery,
+//! the standard streams and connections that are being closed.
 //!
 //! Client and unclassified connections together may hold two thirds of the slots, and so may server
-//! connections; one third is therefore guaranteed to servers. Above that third, server connections leave
-//! `accept_headroom` slots for new connections to the node, and so do requests on connections that may be
-//! evicted. New connections leave `server_headroom` slots for server connections.
+//! connections; one third is therefore guaranteed to servers. Above that third, a server connection is opened
+//! only if `accept_headroom` slots stay free or can be freed by evictions, for new connections to the node. A
+//! request on a connection that may be evicted is likewise accepted only if that many other slots are free or
+//! can be freed. New connections leave `server_headroom` slots for server connections.
 //!
 //! When slots run short, connections are asked to close in this order, the oldest of each group first:
 //! unclassified connections that have lasted for [`MIN_IDLE_TIME`], client connections that have been idle
 //! for as long, and then younger unclassified connections. A client connection with an open request, or one
 //! idle for a shorter time, is not evicted: the platform's terms of service let a node close a client
 //! connection only after 2 s without an open request. Idle connections to servers are closed by their pool,
-//! which is told when [`ConnectionSlots::servers_limit_clients`] holds.
+//! which is notified when [`ConnectionSlots::servers_limit_clients`] holds.
 //!
 //! This module knows nothing of protocols. Sessions report when a request begins and when a connection
 //! becomes idle.
@@ -28,33 +30,36 @@
 use tokio::time::Instant;
 
 /// Descriptors that are reserved for the listener, discovery, the standard streams, signals and the runtime,
-/// and for sockets that are being closed.
+/// and for sockets that are being closed. One more is reserved for each 32 descriptors of the node, but at
+/// most half of them in all.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Time without an open request after which a connection may be closed to free its slot.
+/// Time without an open request after which a client connection may be closed to free its slot. Also the age
+/// from which an unclassified connection is evicted before idle client connections; a younger one is evicted
+/// after them.
 pub const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
-/// Longest wait between two looks for a free slot. Connections become evictable as time passes, and no
+/// Maximum time between two checks for a free slot. Connections become evictable as time passes, and no
 /// notification reports that.
 const FREE_SLOT_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Identifies a connection to the node; never used twice.
+/// Identifies a connection to the node, of a client or of an unclassified peer; never used twice.
 pub type ClientId = u64;
 
 /// The table of connection slots: one for each descriptor that is not reserved.
 pub struct ConnectionSlots {
     /// Number of slots in the table.
     total_slots: usize,
-    /// Maximum number of slots for connections to the node, and also for connections to servers. The rest of
-    /// the slots is guaranteed to the other side.
+    /// Maximum number of slots for connections to the node, and likewise for connections to servers. The rest
+    /// of the slots is guaranteed to the other side.
     max_slots_per_side: usize,
     /// Number of slots that open requests and server connections leave free, so that new connections are
     /// accepted and answered or refused while everything else is busy.
     accept_headroom: usize,
-    /// Number of slots that new connections to the node leave free for server connections, however many
-    /// servers have already.
+    /// Number of slots that new connections to the node leave free for server connections, however many slots
+    /// server connections hold already.
     server_headroom: usize,
     /// Number of client connections above which idle ones are evicted even if nobody waits for a slot.
-    /// Clients use at most a third of the descriptors, so beyond that a client that needs a connection does
-    /// not try to open one, and nothing shows the node that it waits.
+    /// Clients together open at most a third as many connections as the node may have descriptors. At that
+    /// limit, a client that needs one more connection waits without opening it, and the node cannot see that.
     idle_eviction_threshold: usize,
     table: Mutex<SlotTable>,
     slot_freed: Notify,
@@ -63,6 +68,7 @@
 #[derive(Default)]
 struct SlotTable {
     server_connections: usize,
+    /// Connections to the node, unclassified ones included.
     clients: HashMap<ClientId, ClientEntry>,
     /// The identifier that was assigned last.
     last_client_id: ClientId,
@@ -93,8 +99,9 @@
     Unclassified(Instant),
     /// A request is open on the connection.
     Open,
-    /// No request has been open since this time. Commands that are not requests do not reset it, however
-    /// often they come.
+    /// No request is open. Holds the time at which the last one was answered or at which an eviction was last
+    /// cancelled, whichever is later. Commands that are not requests do not change it, however often they
+    /// come.
     Idle(Instant),
 }
 
@@ -112,21 +119,21 @@
     }
 }
 
-/// How a connection that was asked to close may do so.
+/// Kind of a connection that was asked to close. The kind decides how the connection may close.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Eviction {
     /// A client connection, which may be closed between requests.
     IdleClient,
     /// An unclassified connection that has lasted for `MIN_IDLE_TIME`.
     Unclassified,
-    /// A younger unclassified connection. A request may well be on its way, and must then be answered with a
-    /// refusal.
+    /// An unclassified connection that is younger, or on which a request was refused within that time. A
+    /// request is likely to arrive and must then be answered with a refusal.
     NewlyAccepted,
 }
 
 impl ConnectionSlots {
-    /// Creates the table of a node that may open `sockets` descriptors. Client and server connections share
-    /// it; neither side can take more than leaves the other about a third.
+    /// Creates the table of a node that may open `sockets` descriptors. Connections to the node and to
+    /// servers share it, and each side always leaves about a third to the other.
     pub fn new(sockets: usize) -> Arc<ConnectionSlots> {
         let total_slots = sockets - (RESERVED_DESCRIPTORS + sockets / 32).min(sockets / 2);
         let max_slots_per_side = total_slots * 2 / 3;
@@ -149,8 +156,8 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of slots that new connections to the node may still take while `server_connections` slots are
-    /// taken by, or kept for, servers.
+    /// Returns the number of slots that new connections to the node may still take while `server_connections`
+    /// slots are taken by, or kept for, servers.
     fn free_client_slots(&self, table: &SlotTable, server_connections: usize) -> usize {
         let unused =
             self.total_slots.saturating_sub(table.clients.len() + server_connections + self.server_headroom);
@@ -165,9 +172,9 @@
 
     /// Returns a slot for a new connection to the node, or `None` if no slot is free.
     ///
-    /// Without evictions, new connections would wait in the kernel's backlog, unknown to the node, until
-    /// earlier ones close. So while few slots are left, each new connection evicts one other; once none is
-    /// left, more may be waiting, and as many as allowed are evicted.
+    /// Without evictions, new connections would wait in the kernel's accept queue, unknown to the node, until
+    /// earlier ones close. So while few slots are left, each new connection causes one eviction. When none is
+    /// left, several connections may be waiting, and as many as `evict_up_to` allows are evicted.
     pub fn acquire_for_client(self: &Arc<Self>) -> Option<ClientSlot> {
         let mut table = self.lock();
         table.evict_idle_above(self.idle_eviction_threshold);
@@ -221,8 +228,8 @@
         }
         table.server_connections += 1;
         if unused <= self.server_headroom {
-            // Without this, requests would find no connection to a server while idle peers hold every slot
-            // that is not guaranteed to servers.
+            // Without this, requests would find no free slot for a connection to a server while idle
+            // connections to the node hold every slot that is not guaranteed to servers.
             table.evict_up_to(1);
         }
         Some(ServerSlot(self.clone()))
@@ -241,7 +248,8 @@
 }
 
 impl SlotTable {
-    /// Number of connections that may be evicted or are closing, without `excluded`.
+    /// Returns the number of connections to the node that may be evicted or are closing, not counting
+    /// `excluded`. Unclassified connections are included.
     fn evictable_clients(&self, excluded: Option<ClientId>) -> usize {
         let now = Instant::now();
         let others = self.clients.iter().filter(|(id, _)| Some(**id) != excluded);
@@ -264,8 +272,9 @@
     }
 
     /// Asks up to `count` connections to close, in the order of eviction. A closing connection keeps its slot
-    /// for a moment, so if all were asked at once, each new connection would have to close as soon as it is
-    /// accepted. Therefore at most half of the evictable connections close at the same time.
+    /// for a moment. If all were asked at once, only newly accepted connections would be left to evict, and
+    /// each would have to close as soon as it is accepted. Therefore at most half of the evictable
+    /// connections close at the same time.
     fn evict_up_to(&mut self, count: usize) {
         let now = Instant::now();
         let closing_count = self.clients.values().filter(|entry| entry.closing).count();
@@ -278,7 +287,7 @@
     }
 }
 
-/// The slot of a connection to the node; released when dropped.
+/// The slot of a connection to the node, of a client or of an unclassified peer; released when dropped.
 pub struct ClientSlot {
     id: ClientId,
     connection_slots: Arc<ConnectionSlots>,
@@ -291,8 +300,10 @@
         self.id
     }
 
-    /// Whether a valid request that has arrived may be accepted. If so, the connection is not evicted until
-    /// it has been without an open request for `MIN_IDLE_TIME`, as the platform's terms of service require.
+    /// Accepts a valid request that has arrived, or refuses it if slots are short; returns whether it was
+    /// accepted. If so, the connection is a client's from then on, a requested eviction is cancelled, and it
+    /// is not evicted until it has been without an open request for `MIN_IDLE_TIME`, as the platform's terms
+    /// of service require.
     pub fn begin_request(&self) -> bool {
         let (mut table, now) = (self.connection_slots.lock(), Instant::now());
         // Slots that are guaranteed to servers do not count as free, as the request may need a server
@@ -355,8 +366,8 @@
         }
     }
 
-    /// Cancels the eviction of a client that is in the middle of sending a command. Its idle time starts
-    /// anew.
+    /// Cancels the eviction of a client that is in the middle of sending a command or still awaits a reply.
+    /// Its idle time starts anew.
     pub fn cancel_eviction(&self) {
         if let Some(entry) = self.connection_slots.lock().clients.get_mut(&self.id) {
             (entry.state, entry.closing) = (ClientState::Idle(Instant::now()), false);
--- a/src/bin/pondproxy-node/origin_protocol.rs
+++ b/src/bin/pondproxy-node/origin_protocol.rs
@@ -11,8 +11,8 @@
 /// Maximum number of interim responses (1xx) before the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// Encodes a client's command for the origin. Like a cache server the origin is told the time that is left
-/// now, because a fetch follows a cache miss or has waited at the gate.
+/// Encodes a client's command for the origin. As for a cache server, the fact `d` states the time that is
+/// left now, because some of it was spent on a cache miss or on waiting for the gate.
 pub fn encode(command: &Command, left_ms: u64, host: &str) -> Bytes {
     let mut request = BytesMut::with_capacity(512);
     request.put_slice(if command.write { b"PUT /" } else { b"GET /" });
@@ -60,6 +60,7 @@
         if !ChunkedDecoder::default().decode(&mut rest, &mut body).map_err(|_| MalformedReply)? {
             return if rest.len() + body.len() > 2 * max_body_bytes { Err(MalformedReply) } else { Ok(None) };
         }
+        // Trailers are not parsed, so later input could not be told from them.
         keep_alive = false;
         if body.len() > max_body_bytes {
             return Err(MalformedReply);
--- a/src/bin/pondproxy-node/stream_io.rs
+++ b/src/bin/pondproxy-node/stream_io.rs
@@ -1,6 +1,6 @@
-//! Reads and writes that follow the results of the system calls. tokio takes a short read or write as a sign
-//! that the socket is drained or full, and then waits for a readiness event that may not come; it also
-//! reports an interrupted call as an error.
+//! Reads and writes that wait only when a system call reports that it would block. tokio takes a short
+//! read or write as a sign that the socket is drained or full, and then waits for a readiness event that may
+//! not come. It also reports an interrupted call as an error, which is retried here.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::mem::MaybeUninit;
@@ -10,10 +10,11 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Maximum number of bytes of one read.
+/// Maximum number of bytes that `read` reads at once.
 const MAX_READ_BYTES: usize = 8 * 1024;
 
-/// Waits for input and reads as much as fits the buffer's spare capacity; returns 0 at the end of the input.
+/// Waits for input and reads as much as fits the buffer's spare capacity, but at least one byte and at most
+/// `MAX_READ_BYTES`; returns 0 at the end of the input.
 pub async fn read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     let read_limit = (buffer.capacity() - buffer.len()).clamp(1, MAX_READ_BYTES);
     let read_chunk = || {
@@ -41,12 +42,12 @@
     Ok(())
 }
 
-/// Reads the available input without waiting.
+/// Reads available input into `chunk` without waiting; fails with `WouldBlock` if there is none.
 pub fn read_now(stream: &TcpStream, chunk: &mut [u8]) -> io::Result<usize> {
     retry_interrupted(|| (&*SockRef::from(stream)).read(chunk))
 }
 
-/// Writes what the send buffer takes without waiting.
+/// Writes what the send buffer takes without waiting; fails with `WouldBlock` if it is full.
 pub fn write_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     retry_interrupted(|| (&*SockRef::from(stream)).write(bytes))
 }
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -1,7 +1,8 @@
 //! Connections to cache servers and the origin, and the reuse of idle ones.
 //!
-//! Each connection carries one request at a time: a connection answers in order, so a slow reply would block
-//! those behind it. The pool decides neither which server gets a request nor when an attempt is given up.
+//! Each connection carries one request at a time: a server answers the requests of a connection in order, so
+//! a slow reply would block those behind it. The pool decides neither which server gets a request nor when an
+//! attempt is given up.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,17 +24,17 @@
 use crate::stream_io::{self, PeekResult};
 use crate::{cache_protocol, http, origin_protocol, resp};
 
-/// A reply that has begun is malformed if no more of it arrives within the longest latency target divided by
-/// this, limited to 10 to 250 ms.
+/// A reply that has begun counts as malformed if no more of it arrives within the longest latency target of a
+/// class divided by this. That time is at least 10 ms and at most 250 ms.
 const PARTIAL_REPLY_TIMEOUT_DIVISOR: u64 = 8;
 /// Maximum length of the value in a server's reply.
 const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
 /// Time-out for the first byte of a reply. In effect unlimited, because the event loop gives attempts up by
 /// closing their connections.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3600);
-/// Time after a reply before a connection is used again. A duplicate reply or noise may arrive shortly after
-/// a valid reply, and must be noticed before the next request is written, or it would be read as the reply to
-/// that request.
+/// Time after a reply before a connection is used again. A duplicate reply or stray bytes may arrive shortly
+/// after a valid reply, and must be noticed before the next request is written, or they would be read as the
+/// reply to that request.
 const REUSE_DELAY_US: Micros = 15_000;
 
 /// Identifies a connection to a server; never used twice.
@@ -45,6 +46,7 @@
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedReply;
 
+/// A parsed reply of a cache server or the origin.
 #[derive(Debug, PartialEq)]
 pub struct ServerReply {
     pub status: Status,
@@ -86,6 +88,7 @@
     client: ClientLiveness,
 }
 
+/// What the pool knows about a connection that is open or being opened.
 struct Conn {
     server: ServerId,
     address: SocketAddr,
@@ -93,7 +96,9 @@
     task: AbortHandle,
     /// The attempt that the connection was opened for or carries.
     attempt: Option<AttemptId>,
+    /// When the connection last became idle; 0 before that.
     idle_since: Micros,
+    /// Number of requests that the connection has been given.
     request_count: u64,
     _slot: ServerSlot,
 }
@@ -107,7 +112,7 @@
 
 impl Drop for Conn {
     fn drop(&mut self) {
-        // Closing its connection is how an attempt is given up.
+        // Aborting the task closes the connection. An attempt is given up in this way.
         self.task.abort();
     }
 }
@@ -119,6 +124,7 @@
     idle: HashMap<ServerId, Vec<ConnId>>,
     next_id: ConnId,
     connection_slots: Arc<ConnectionSlots>,
+    /// Time after which an idle connection is not used again and is closed.
     idle_limit: Micros,
     deployment: Arc<Deployment>,
     memory: MemoryBudget,
@@ -134,7 +140,8 @@
         event_sender: mpsc::Sender<NodeEvent>,
     ) -> Self {
         // Idle connections are closed well before the server would close them: a request that is written to a
-        // closed connection fails with a reset. It may then have been executed, so it may not be sent again.
+        // closed connection fails with a reset. The node cannot know then whether the request was executed,
+        // so it may not send it again.
         let idle_limit = deployment.idle_timeout / 2;
         let (conns, idle) = (HashMap::new(), HashMap::new());
         UpstreamPool {
@@ -149,12 +156,13 @@
         }
     }
 
-    /// Returns an idle connection to a server for an attempt, if there is one.
+    /// Takes an idle connection to a server for an attempt, if there is one that can be used now.
     pub fn reuse(&mut self, server: ServerId, attempt: AttemptId, now: Micros) -> Option<ConnId> {
         loop {
             let idle = self.idle.get_mut(&server)?;
-            // Connections are listed in the order in which they became idle: this takes the most recently
-            // used one whose `REUSE_DELAY_US` has passed.
+            // Connections are listed in the order in which they became idle. This takes the last one whose
+            // `REUSE_DELAY_US` has passed or that is closed; a closed or expired one is dropped below, and
+            // the search goes on.
             let conns = &self.conns;
             let usable_or_closed = |id: &ConnId| {
                 conns.get(id).is_none_or(|conn| conn.idle_since + REUSE_DELAY_US <= now || !conn.is_open())
@@ -230,7 +238,9 @@
         conn.request_sender.try_send(ConnRequest { request, client }).is_ok()
     }
 
-    /// Returns a connection without an open request to the pool. `address` is its server's present address.
+    /// Puts a connection without an open request back into the pool, or closes it if its server no longer has
+    /// the address to which it was opened. `address` is the server's present address, `None` if the server
+    /// was removed.
     pub fn release(&mut self, id: ConnId, address: Option<SocketAddr>, now: Micros) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if address != Some(conn.address) {
@@ -318,8 +328,8 @@
             }
             buffer.reserve(2048);
             let next_request = tokio::select! {
-                // Polled first: nothing is written to a connection that the server has closed, so its request
-                // is known not to have been executed.
+                // Reading is polled first: nothing is written to a connection that the server has closed, so
+                // a request for it is known not to have been executed.
                 biased;
                 _ = stream_io::read(&stream, &mut buffer) => return ConnEvent::Failed { written: false },
                 next_request = self.request_receiver.recv() => next_request,
@@ -353,8 +363,8 @@
             let mut reservation = None;
             let reply = loop {
                 // The rest of a reply should follow its beginning at once. Without this limit, a line or
-                // value that never ends would block its request; a reply that stalls is malformed instead,
-                // and its request can still go to another server.
+                // value that never ends would block its request. A reply that stalls counts as malformed
+                // instead, and its request can still go to another server.
                 let read_timeout = if buffer.is_empty() { FIRST_BYTE_TIMEOUT } else { partial_reply_timeout };
                 let decoded = match self.protocol {
                     Protocol::Resp => cache_protocol::decode(
