--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -127,7 +127,7 @@
     /// An unclassified connection that has lasted for `MIN_IDLE_TIME`.
     Unclassified,
     /// An unclassified connection that is younger, or on which a request was refused within that time. A
-    /// request is likely to arrive and must then be answered with a refusal.
+    /// request may already have been sent and must then be answered with a refusal.
     NewlyAccepted,
 }
 
