--- a/src/policy.rs
+++ b/src/policy.rs
@@ -12,6 +12,7 @@
 //! The gate is modelled on a published rate-limit note: a counter of outstanding calls and a window of one
 //! second; blocked calls are queued again after a random 1 to 3 s and fail after 60 s. Here the window and
 //! the backoff are fractions of the latency target.
+#![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 mod admission;
 mod discovery_refresh;
@@ -646,6 +647,10 @@
     }
 
     /// Records what an outcome shows about its server, the overload of the fleet or the origin.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one sequence of decisions on an outcome: load report, overload signal, then status"
+    )]
     fn record_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         if !attempt.presumed_lost {
             self.remove_from_in_flight(attempt);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,7 @@
 //! Admission of requests per tenant by token buckets, whose fill rate follows the overload signal of the
 //! attempts. Owns the admission level, a multiple of the quotas at which the buckets fill; must not know
 //! where requests are sent.
+#![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 use crate::interface::*;
 use crate::state::*;
--- a/src/policy/discovery_refresh.rs
+++ b/src/policy/discovery_refresh.rs
@@ -1,5 +1,6 @@
 //! Times of the calls to discovery. Owns the time of the next call, and spreads the calls of many balancers
 //! over time. Must not know how a call is made, only how the last one ended.
+#![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 use crate::interface::{Action, DiscoveryFailure, Micros};
 use crate::state::*;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,6 +1,7 @@
 //! Slow start: limits the attempts sent to a server that has just started and has a cold cache, so that it
 //! does not crash under load. Owns the rate and the depth of a server's slow-start bucket; must not know how
 //! a server is selected among those that it allows.
+#![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 use super::HOT_KEY_WINDOW_REQUESTS;
 use crate::interface::Key;
