--- a/src/policy.rs
+++ b/src/policy.rs
@@ -75,15 +75,14 @@
 /// nearly late.
 const SLOW_FRACTION_OF_LATENCY_TARGET: f64 = 0.4;
 /// An answer is presumed lost after this multiple of the server's response time if an attempt that was sent
-/// there later has been answered. If many answers of the server were lost recently, a smaller multiple
-/// applies.
+/// there later has been answered. If answers of the server were lost recently, a smaller multiple applies.
 const MAX_LOST_MULTIPLE_OF_RESPONSE_TIME: f64 = 6.0;
 /// Weight of one attempt in the smoothed share of its server's answers that are lost.
 const LOSS_RATE_SMOOTHING_FACTOR: f64 = 0.05;
 /// Cost of retrying an attempt whose answer is presumed lost, in attempts of the retry budget. It is below 1
 /// because three of four such answers are lost, and only the fourth is slow.
 const LOST_RETRY_COST: f64 = 0.25;
-/// Number of failures after which a server is ejected; each answer since then reduces the count by one.
+/// Number of failures after which a server is ejected; each answer between them reduces the count by one.
 /// Also the number of unanswered attempts after which a zone is ejected; an answer from the zone resets
 /// that count.
 const EJECTION_FAILURE_THRESHOLD: u32 = 3;
@@ -202,8 +201,8 @@
     /// Registers a request, sheds it if admission or its deadline requires this, and otherwise sends its
     /// first attempt.
     fn handle_request(&mut self, request: Request, actions: &mut Vec<Action>) {
-        // Requests end some ticks early, so that the answer is in time even if the next call of this module
-        // comes late.
+        // Requests end some ticks early, so that the answer is in time even if the node calls this module
+        // late.
         let margin = 2 * self.settings.tick;
         let mut request_state = RequestState {
             class: request.class,
@@ -279,7 +278,8 @@
         let total_load =
             self.ready_servers(false).map(|server| self.estimated_load(server, 1.0)).sum::<f64>();
         let fleet_bound = bound_multiple * (total_load + 1.0) / self.total_weight;
-        // Each balancer may use at most half of the least bound, even if it is the only one.
+        // Each balancer may use an equal part of the least bound, and a single one only half of it: the whole
+        // of it from one balancer would be an overload.
         let min_bound = MIN_LOAD_BOUND_ATTEMPTS / f64::from(self.settings.balancer_count.max(2));
         let mut candidates = Vec::new();
         for server in self.ready_servers(false).filter(|server| {
@@ -464,8 +464,9 @@
         admitted
     }
 
-    /// Schedules a request whose call the gate blocked or the origin rejected to be sent again after a random
-    /// backoff. Ends the request instead if that would be too late to earn value and no attempt is in flight.
+    /// Schedules a request to be sent again after a random backoff, because the gate blocked its call, the
+    /// origin rejected the call or no server is available for it. If the backoff ends too late to earn value,
+    /// the request is ended instead, unless an attempt is in flight.
     fn defer(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let delay = self.jittered_backoff(self.requests[&request_id].class);
         let request_state = &self.requests[&request_id];
@@ -625,9 +626,8 @@
         let cost_server_work =
             self.close_idle_connections && attempt.purpose == Purpose::Read && outcome.status != Status::Miss;
         if cost_server_work || !outcome.status.never_executed() {
-            // Malformed answers and broken connections are no sign of slow servers. In some runs of a test
-            // bench many of them occur, and a budget would run out. The attempts of each request are few
-            // anyway.
+            // Malformed answers and broken connections are no sign of slow servers. In some benchmark runs
+            // many of them occur, and a budget would run out. The attempts of each request are few anyway.
             let retry_cost =
                 if matches!(outcome.status, Status::Malformed | Status::Reset) { 0.0 } else { 1.0 };
             let retriable = match self.settings.classes[class].idempotency {
@@ -814,7 +814,8 @@
         }
     }
 
-    /// Whether an attempt was sent to a zone that has been ejected as silent and has not answered since.
+    /// Whether an attempt was sent to a zone that has been ejected as silent and has not answered since the
+    /// attempt was sent.
     fn in_silent_zone(&self, attempt: &Attempt) -> bool {
         let zone_state = self
             .servers
@@ -833,9 +834,9 @@
             .min(self.latency_target * MAX_EJECTION_MULTIPLE_OF_LATENCY_TARGET)
     }
 
-    /// Counts a failure of a server. Ejects the server when its failures outnumber its answers since by a
-    /// threshold, or after a failed trial, which is an attempt made after the ejection has ended. Prevents
-    /// further attempts at a server that is down.
+    /// Counts a failure of a server. Ejects the server when the failure count, which each answer reduces by
+    /// one, reaches a threshold. A failure after an ejection has ended, with no answer since, is a failed
+    /// trial and ejects the server again at once. Prevents further attempts at a server that is down.
     fn record_server_failure(&mut self, server_id: ServerId, actions: &mut Vec<Action>) {
         let (request_interval, min_ejection_time) =
             (self.per_server_request_interval(), self.min_ejection_time());
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -95,7 +95,8 @@
         let min_level = if severe_overload { MIN_ADMISSION_LEVEL } else { INITIAL_ADMISSION_LEVEL };
         // The level moves by full steps during a severe overload, because such an overload is
         // self-reinforcing, and when there are few or no requests to base the step on: below the quotas,
-        // with sparse traffic and spare capacity, or without any read in flight.
+        // with sparse traffic and spare capacity, or with neither reads in flight nor recent overload
+        // signals.
         let full_step = severe_overload
             || previous_level < INITIAL_ADMISSION_LEVEL
             || has_spare_capacity
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -48,10 +48,11 @@
     }
 
     /// Returns the level and the depth of a server's slow-start bucket, which limits attempts in proportion
-    /// to the server's present capacity. The part of one of many balancers may be less than one attempt in
-    /// the time in which an overload crashes the server. So the bucket starts above its depth, by a random
-    /// fraction of one attempt. Without this, the first attempts of all balancers would arrive at once and
-    /// overload the server.
+    /// to the server's present capacity. The depth is one attempt more than this balancer's part of the
+    /// allowed attempts in half of `Settings::crash_load_time`. With many balancers, the part of each is
+    /// less than one attempt, so the bucket of a new process starts at one attempt and a random fraction of
+    /// another. Without this, the first attempts of all balancers would arrive at once and overload the
+    /// server.
     pub(super) fn slow_start_level_and_depth(&self, server: &Server) -> (f64, f64) {
         let rate = SLOW_START_RATE_MULTIPLE
             * self.capacity_fraction(server)
--- a/src/state.rs
+++ b/src/state.rs
@@ -42,7 +42,7 @@
     pub(crate) retry_budget: f64,
     /// Keys of the recent requests and the expected work of each, latest first.
     pub(crate) recent_requests: VecDeque<(Key, f64)>,
-    /// Attempts in flight to cache servers.
+    /// Reads in flight to cache servers.
     pub(crate) cache_in_flight: u32,
     /// Total weight of the cache servers that are ready.
     pub(crate) total_weight: f64,
@@ -55,7 +55,7 @@
     pub(crate) timers: TimerQueue,
     /// Number of consecutive failed calls to discovery; a call that discovery did not accept sets it to 1.
     pub(crate) discovery_failures: u32,
-    /// Time of the next call to discovery; `None` while a call or watch is active.
+    /// Time of the next call to discovery; `None` if none is scheduled, as while a call or watch is active.
     pub(crate) next_discovery_call: Option<Micros>,
     /// Time at which the address of discovery first changed since the last list.
     pub(crate) discovery_moved_at: Option<Micros>,
