--- a/src/bin/pondproxy-node/discovery.rs
+++ b/src/bin/pondproxy-node/discovery.rs
@@ -29,9 +29,9 @@
 /// Longest pause before a watch on pushed lists is reopened. A watch that was open for longer than this was
 /// stable.
 const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
-/// The longest pause is also at most the drain grace time divided by this. The node counts as notified of a
-/// change as soon as the local agent learns of it, even while no watch is open, so the watch must be open
-/// again well before the drain grace time has passed.
+/// The longest pause is also at most the drain grace time divided by this, but not below `MIN_REOPEN_PAUSE`.
+/// The node counts as notified of a change as soon as the local agent learns of it, even while no watch is
+/// open, so the watch must be open again well before the drain grace time has passed.
 const MAX_PAUSE_GRACE_DIVISOR: u32 = 4;
 /// Maximum number of superseded calls that are still open; each holds a descriptor of the node's reserve.
 const MAX_SUPERSEDED_CALLS: usize = 3;
@@ -79,7 +79,7 @@
 /// The calls to discovery in progress.
 pub struct Discovery {
     address: SocketAddr,
-    /// The address for the next call, if discovery has moved.
+    /// The address from the next watch on, if discovery has moved.
     next_address: Option<SocketAddr>,
     /// Version of the list in force.
     index: Arc<AtomicU64>,
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Sets the address for the next call. Until that call is made the watch at the former address stays
+    /// Sets the address to which the next watch is opened. Until then the watch at the former address stays
     /// open, because the former discovery keeps serving for a while after a move.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.next_address = Some(address);
     }
 
-    /// Whether discovery has moved and has not been called at its new address yet.
+    /// Whether discovery has moved and its new address is not in use yet.
     pub fn move_pending(&self) -> bool {
         self.next_address.is_some()
     }
--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -23,7 +23,8 @@
 /// notified of a change 6 s after discovery stopped responding. If a watch times out and the next call does
 /// too, this limit and `WATCH_IDLE_TIMEOUT` still leave time for a third call.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time without a list or an empty line after which a watch has failed; discovery sends a line every 2 s.
+/// Time without a list or an empty line after which a call has failed; on a watch, discovery sends a line
+/// every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Size of one read from the socket.
 const READ_SIZE_BYTES: usize = 16 * 1024;
@@ -251,7 +252,8 @@
     }
 }
 
-/// Reads until the head of the response is complete, and removes the head from `raw`.
+/// Reads until the head of the response is complete, and removes the head from `raw`. Bytes that trickle in
+/// do not extend the deadline.
 async fn read_head(stream: &TcpStream, raw: &mut BytesMut) -> Result<http::ResponseHead, CallError> {
     let read_deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
     loop {
--- a/src/bin/pondproxy-node/event_loop.rs
+++ b/src/bin/pondproxy-node/event_loop.rs
@@ -38,7 +38,8 @@
     Connection(ConnId, ConnEvent),
     /// An event of a call to discovery.
     Discovery(CallId, CallEvent),
-    /// Few connection slots are left for clients, and servers hold more than their guaranteed share.
+    /// A client's connection is accepted or waits for a slot while few slots are left for clients and servers
+    /// hold more than their guaranteed share.
     SlotsLow,
     /// The configuration was read again after SIGHUP.
     Reload(Box<NodeConfig>),
@@ -74,7 +75,8 @@
 /// Time after SIGTERM during which connections are still accepted, because clients may open new ones for up
 /// to 0.4 s after it.
 const ACCEPT_AFTER_TERMINATE_US: Micros = 450_000;
-/// A draining node exits no later than the longest deadline of a class plus this margin.
+/// A draining node exits at the latest when the longest deadline of a class and this margin have passed since
+/// SIGTERM.
 const DRAIN_MARGIN_US: Micros = 550_000;
 /// Delay of the first drain check after the drain begins.
 const FIRST_DRAIN_CHECK_DELAY_US: Micros = 20_000;
@@ -484,8 +486,8 @@
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // The attempt may have waited for its connection since the decision to send it. Without this check,
-        // it could be sent to a server that has begun to drain or was removed from the list, or for a client
-        // that has disconnected.
+        // it could be sent to a server that has begun to drain or was removed from the list, or for a request
+        // that has ended meanwhile: answered, past its deadline, or with a disconnected client.
         let server = self.servers.ready(attempt.server);
         let open_request = self
             .open_requests
@@ -525,7 +527,8 @@
     }
 
     fn handle_connection_event(&mut self, conn_id: ConnId, event: ConnEvent) {
-        // A connection that is idle or was closed has no attempt. Of its events, only a failure matters.
+        // A connection that is idle or was closed has no attempt. Events of a closed one arrive late and have
+        // no effect; an idle one that fails is removed from the pool.
         let attempt_id = self.pool.attempt(conn_id);
         match (event, attempt_id) {
             (ConnEvent::Connected, Some(attempt_id)) => self.write_attempt(attempt_id, conn_id),
@@ -595,8 +598,8 @@
         }
     }
 
-    /// Closes a connection on which no complete request was sent, and opens a new one for its attempt;
-    /// returns `false` if none can be opened.
+    /// Closes a connection on which the request of its attempt was not completely written, and opens a new
+    /// one for the attempt; returns `false` if none can be opened.
     fn reconnect(&mut self, attempt_id: AttemptId, conn_id: ConnId) -> bool {
         self.pool.close(conn_id);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return false };
--- a/src/bin/pondproxy-node/event_loop/server_lists.rs
+++ b/src/bin/pondproxy-node/event_loop/server_lists.rs
@@ -1,5 +1,6 @@
 //! The part of the event loop that handles events of calls to discovery. A complete list or a change of the
-//! list that a current call receives comes into force; of any other list only the withdrawals are applied.
+//! list that a current call receives comes into force; of a truncated list, or of one that a superseded call
+//! receives, only the withdrawals are applied.
 
 use pondproxy::{Event, ListKind, Micros};
 
@@ -31,7 +32,8 @@
                 self.apply_withdrawn_servers(&update)
             }
             (CallStatus::Superseded, CallEvent::Failed { .. }) => self.discovery.call_ended(call_id),
-            // Only a current call closes superseded ones, and events of an ended call no longer apply.
+            // Only a current call closes superseded ones. Events of an ended call no longer apply, for
+            // example because the call that replaces it has been answered and its lists are in force.
             (CallStatus::Superseded, CallEvent::Synchronized) | (CallStatus::Ended, _) => {}
         }
     }
--- a/src/bin/pondproxy-node/memory_budget.rs
+++ b/src/bin/pondproxy-node/memory_budget.rs
@@ -11,8 +11,8 @@
 const BUFFER_OVERHEAD_FACTOR: usize = 2;
 /// Unit in which the budget is counted.
 const UNIT_BYTES: usize = 1024;
-/// Commands that clients pipeline behind open requests may use at most the budget divided by this; the rest
-/// is left to accepted requests.
+/// Buffered commands that wait for earlier commands of their connection may use at most the budget divided by
+/// this; the rest is left to accepted requests.
 const PIPELINED_DIVISOR: usize = 4;
 
 /// A memory budget; its clones share it.
--- a/src/bin/pondproxy-node/resp.rs
+++ b/src/bin/pondproxy-node/resp.rs
@@ -57,7 +57,7 @@
 }
 
 /// Returns the length that a reply states for its value, the first element of the array; `None` if that has
-/// not arrived or is malformed.
+/// not arrived, is malformed or states a null.
 pub fn declared_length(buffer: &[u8]) -> Option<usize> {
     let mut parser = Parser { input: buffer, position: 0, max_bulk_bytes: usize::MAX };
     parser.read_length(b'*', MAX_ELEMENTS).ok()??;
--- a/src/bin/pondproxy-sim/codec.rs
+++ b/src/bin/pondproxy-sim/codec.rs
@@ -66,7 +66,7 @@
         /// Entries of the list.
         servers: Vec<ServerEntry>,
     },
-    /// An instance stops.
+    /// An instance is terminated without prior notice.
     Stop(u16),
     /// An instance receives a numbered server list.
     ListReceived {
