--- a/tests/discovery_calls.rs
+++ b/tests/discovery_calls.rs
@@ -82,7 +82,10 @@
     let few = next_call_delays(2, servers(), None);
     assert!(few.iter().all(|at| *at < 150 * MS), "two balancers need not wait: {few:?}");
     let without_servers = next_call_delays(100, Vec::new(), None);
-    assert_eq!(without_servers, [0; 100], "a balancer without servers must call at once");
+    assert_eq!(
+        without_servers, [0; 100],
+        "a balancer without servers can serve nothing until it has a list, so its first call is not delayed"
+    );
 }
 
 #[test]
--- a/tests/node/connection_pressure.rs
+++ b/tests/node/connection_pressure.rs
@@ -42,7 +42,7 @@
             let megabyte = vec![b'*'; 1 << 20];
             let ping = command(&["PING"]);
             let mut peers: Vec<Option<(TcpStream, usize)>> = (0..count).map(|_| None).collect();
-            // Counts iterations, one each 100 ms: ten are a second. 14 below is the length of a PING in bytes.
+            // Counts iterations of 100 ms, ten in a second. The 14 below is the length of a PING in bytes.
             let mut tick = 0;
             while !stop_signal.load(Ordering::Relaxed) {
                 for slot in &mut peers {
@@ -395,6 +395,8 @@
 
 #[test]
 fn idle_clients_are_closed_when_clients_hold_a_third_of_the_descriptors() {
+    // Clients open at most a third as many connections as the node may have descriptors. Idle ones must not
+    // use up that third: a part of it stays available to clients that have requests to send.
     let (node, _cache) = start_small_node();
     let mut clients: Vec<_> = (0..21).map(|_| node.connect_client()).collect();
     let start = Instant::now();
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -83,8 +83,9 @@
         assert!(line.contains("can't be reached"), "{line}");
         let delay_ms: u64 =
             line.rsplit(' ').nth(1).and_then(|ms| ms.parse().ok()).expect("the line states a delay in ms");
-        // The first delay is drawn from 0.5 to 1.5 sixteenths of `askWithinUs`; later ones must not exceed
-        // that.
+        // A refused connection costs discovery nothing, so it is no reason for a longer delay, and a short
+        // one lets the node find discovery soon after its return. The first delay is drawn from 0.5 to 1.5
+        // sixteenths of `askWithinUs`; later ones must not exceed that.
         assert!(delay_ms <= 4_000 / 16 * 3 / 2, "refused connections must not lengthen the delay: {line}");
     }
     socket.listen(8).unwrap();
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -378,6 +378,7 @@
 
 #[test]
 fn unresponsive_keep_alive_connections_fail_only_one_request() {
+    // A machine that has vanished closes none of its connections, so idle ones to it still look usable.
     let (release, release_signal) = channel();
     let release_signal = Arc::new(Mutex::new(Some(release_signal)));
     let hang_flag = Arc::new(AtomicBool::new(false));
@@ -785,7 +786,7 @@
         let call = calls.recv_timeout(LONG_TIMEOUT).unwrap();
         assert_eq!(
             call, "GET /v1/servers?watch=1 HTTP/1.1",
-            "the call names no version of the old discovery"
+            "the call names no version: the new discovery does not know those of the old one"
         );
         updates.send(chunk(&list_with_cache(list_index, &caches[server_index]))).unwrap();
         let name = ["first", "second", "third"][server_index];
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -427,6 +427,7 @@
 
 #[test]
 fn the_gate_window_limit_lets_the_quota_through_when_most_reads_miss() {
+    // Most reads miss after the fleet of cache servers has shrunk.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
     let mut node = TestNode::new(config, 3);
@@ -753,7 +754,7 @@
     }
     assert!(
         sent_to(&node.request(read(100, 3))).is_some(),
-        "attempts continue: if all servers fail, no other server is better"
+        "attempts continue: if all servers fail, the cause is common to them, and no server is better"
     );
 }
 
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -143,7 +143,8 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    // Time, length of the body, number of records and number of the batch.
+    // Time, length of the body, number of records and number of the batch. The expected reply is the one that
+    // the description of the simulator's protocol gives for an empty batch.
     let input = [0x5a, 0x5c, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0];
     let output = run_adapter(&input);
     assert!(output.status.success());
