--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -64,6 +64,12 @@
 const DISCARD_LATENESS_FACTOR: u32 = 4;
 /// Maximum pause between two discarding reads.
 const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
+/// Time without a new connection after which a draining node stops accepting. It lets the runtime report the
+/// connections that are still in the kernel's accept queue.
+const DRAIN_ACCEPT_WAIT: Duration = Duration::from_millis(5);
+/// Pause after a failed call to accept a connection. While no descriptor is left, each call fails at once,
+/// and calling again without a pause would keep the node's only thread busy.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Reply to a command that was refused and never forwarded.
 const BUSY_REPLY: &str = "-BUSY\r\n";
 /// Maximum number of busy replies that are written at once.
@@ -183,7 +189,7 @@
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = tokio::time::sleep(Duration::from_millis(5)), if draining => break,
+            () = tokio::time::sleep(DRAIN_ACCEPT_WAIT), if draining => break,
             _ = phase.changed(), if !draining => continue,
         };
         match accepted {
@@ -202,7 +208,7 @@
             }
             // Either no descriptor is left or the client has disconnected; neither is a reason to stop the
             // node.
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     context.connection_slots.set_accepting(false);
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -29,6 +29,9 @@
 const PARTIAL_REPLY_TIMEOUT_DIVISOR: u64 = 8;
 /// Maximum length of the value in a server's reply.
 const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
+/// An incomplete reply waits for a reservation of memory once more than this many of its bytes have arrived.
+/// A reservation is for at least twice `MAX_VALUE_BYTES`; a shorter reply does not have to wait for so much.
+const UNRESERVED_REPLY_BYTES: usize = 4096;
 /// Time-out for the first byte of a reply. In effect unlimited, because the event loop gives attempts up by
 /// closing their connections.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(3600);
@@ -384,7 +387,7 @@
                     Err(MalformedReply) => return ConnEvent::Malformed,
                 }
                 // Long replies may together exceed the memory budget, so each waits for its reservation.
-                if buffer.len() > 4096 && reservation.is_none() {
+                if buffer.len() > UNRESERVED_REPLY_BYTES && reservation.is_none() {
                     let declared_length = match self.protocol {
                         Protocol::Resp => resp::declared_length(&buffer),
                         Protocol::Http => {
