--- a/src/bin/pondproxy-node/cache_protocol.rs
+++ b/src/bin/pondproxy-node/cache_protocol.rs
@@ -27,7 +27,8 @@
 }
 
 /// Removes a complete reply from the front of a connection's input; `None` while it is incomplete. Every
-/// deviation from the protocol is an error, so that no malformed reply is passed on to a client.
+/// deviation from the protocol is an error, so that no malformed reply is passed on to a client; only the
+/// lookup and the load report may be unreadable.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -37,7 +37,8 @@
 /// bytes does not extend them.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Time within which a command must be complete, counted from when the session finds the command's beginning
-/// in the buffer, or from when earlier commands no longer keep it from being read.
+/// in the buffer, or from when earlier commands no longer keep it from being read. For the first command of a
+/// connection, `FIRST_COMMAND_TIMEOUT` applies instead.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time within which a reply must be written completely, counted from when its writing starts.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -45,7 +46,7 @@
 /// to commands that are not requests, such as `PING`, count too.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Maximum time for which input is read and discarded after the last reply of a connection that the node
-/// closes because of an error.
+/// closes after a protocol error, a time-out of a command or a refusal on eviction.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum number of bytes that are read and discarded in that time.
 const LINGER_MAX_BYTES: usize = 256 * 1024;
@@ -58,9 +59,9 @@
 /// Precision of the runtime's timers; a discarding read that starts late by no more than this does not
 /// lengthen the pause.
 const TIMER_PRECISION: Duration = Duration::from_millis(2);
-/// The pause after a discarding read is lengthened by this factor times the time by which that read started
-/// late. Reads start late when the node is busy, so many flooding connections together take no more
-/// processing time than one may.
+/// The pause after a discarding read is lengthened by this factor times the part of the read's lateness that
+/// exceeds `TIMER_PRECISION`. As reads start late when the node is busy, flooding connections together take
+/// no more processing time than one may, however many there are.
 const DISCARD_LATENESS_FACTOR: u32 = 4;
 /// Maximum pause between two discarding reads.
 const MAX_DISCARD_PAUSE: Duration = Duration::from_millis(20);
@@ -168,7 +169,7 @@
     /// Identifies the pending reply among those of its connection.
     pub reply_index: u64,
     pub reply_sender: mpsc::Sender<ClientReply>,
-    /// Memory for the request: its value, and the copy of the value that is sent to the origin.
+    /// Memory for the request, which includes its value and the copy of the value that is sent to a server.
     pub reservation: MemoryReservation,
 }
 
@@ -220,7 +221,8 @@
     /// The connection ends at once, and pending replies are dropped: the client has disconnected or does not
     /// read its replies, or the connection is evicted while replies are pending.
     Aborted,
-    /// The node closes the connection, between requests or after input that cannot be processed further.
+    /// The node closes the connection: between requests, or when `Session::input_abandoned` is set and all
+    /// replies are written.
     Closed,
 }
 
@@ -315,8 +317,8 @@
     command_deadline: Option<Instant>,
     /// When the last reply was written completely, or when the session started.
     idle_since: Instant,
-    /// When the connection will have been without an unwritten reply for `MIN_IDLE_TIME`; `None` once surplus
-    /// idle connections were evicted at that time.
+    /// When the connection will have been without an unwritten reply for `MIN_IDLE_TIME`; `None` before the
+    /// first reply, and once surplus idle connections were evicted at that time.
     evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
@@ -373,7 +375,7 @@
             }
             // The commands of all connections may together be longer than the memory budget. Long ones then
             // wait for memory, with their bytes in the kernel's socket buffers. They are refused if they wait
-            // for longer than `LONG_COMMAND_MEMORY_WAIT` while requests are open.
+            // for longer than `LONG_COMMAND_MEMORY_WAIT` while requests of their connection are open.
             let lacks_memory = accepts_commands && !self.input.is_skipping() && self.input.is_full();
             let unread = self.socket.unread();
             let has_open_request = self.pending_replies.iter().any(PendingReply::is_open);
@@ -616,7 +618,7 @@
                 let value_length = command.value.as_ref().map_or(0, Bytes::len);
                 let Some((permit, reservation)) =
                     self.context.request_permits.clone().try_acquire_owned().ok().zip(
-                        // The value, and its copy that is sent to the origin.
+                        // The value, and its copy that is sent to a server.
                         self.context.memory.try_reserve(READ_CHUNK_BYTES + 2 * value_length),
                     )
                 else {
--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -44,7 +44,7 @@
     start_position: u64,
     /// Reserved memory for the input beyond the first `READ_CHUNK_BYTES`.
     reservations: Vec<MemoryReservation>,
-    /// Number of bytes that may be buffered, with and without a reservation.
+    /// Number of bytes that may be buffered: the first `READ_CHUNK_BYTES`, and those that are reserved.
     reserved_bytes: usize,
     /// Skips new input. While set, `bytes` holds only complete commands, or ends with malformed input.
     skipper: Option<CommandSkipper>,
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -67,8 +67,8 @@
     Connected,
     /// The reply to the request that the connection carried.
     Reply(ServerReply),
-    /// The server sent a reply that cannot be parsed. The request may have been executed, and the server is
-    /// reachable.
+    /// The server sent a reply that cannot be parsed, or did not send the rest of one in time. The request
+    /// may have been executed, and the server is reachable.
     Malformed,
     /// The request was not written because its client has disconnected. The connection can carry another
     /// request.
