--- a/src/bin/pondproxy-node/command_buffer.rs
+++ b/src/bin/pondproxy-node/command_buffer.rs
@@ -45,7 +45,7 @@
     /// Reserved memory for the input beyond the first `READ_CHUNK_BYTES`.
     reservations: Vec<MemoryReservation>,
     /// Number of bytes that may be buffered: the first `READ_CHUNK_BYTES`, and those that are reserved.
-    reserved_bytes: usize,
+    capacity_bytes: usize,
     /// Skips new input. While set, `bytes` holds only complete commands, or ends with malformed input.
     skipper: Option<CommandSkipper>,
     /// The first error in the skipped input.
@@ -62,7 +62,7 @@
             chunk_ends,
             start_position: 0,
             reservations,
-            reserved_bytes: READ_CHUNK_BYTES,
+            capacity_bytes: READ_CHUNK_BYTES,
             skipper: None,
             protocol_error: None,
         }
@@ -86,19 +86,19 @@
 
     /// Whether more memory is needed to buffer more input.
     pub fn is_full(&self) -> bool {
-        self.bytes.len() + self.chunk_ends.len() * size_of::<ChunkEnd>() >= self.reserved_bytes
+        self.bytes.len() + self.chunk_ends.len() * size_of::<ChunkEnd>() >= self.capacity_bytes
     }
 
     /// Adds reserved memory for `bytes` more bytes.
     pub fn add_reservation(&mut self, reservation: MemoryReservation, bytes: usize) {
         self.reservations.push(reservation);
-        self.reserved_bytes += bytes;
+        self.capacity_bytes += bytes;
     }
 
     /// Reserves memory for commands that wait for earlier ones if the buffer is full; returns whether there
     /// is room for more input.
     pub fn try_grow(&mut self) -> bool {
-        while self.is_full() && self.reserved_bytes < MAX_BUFFERED_BYTES {
+        while self.is_full() && self.capacity_bytes < MAX_BUFFERED_BYTES {
             let Some(reservation) = self.memory.try_reserve_pipelined(READ_CHUNK_BYTES) else { return false };
             self.add_reservation(reservation, READ_CHUNK_BYTES);
         }
@@ -135,7 +135,7 @@
     pub fn next(&mut self) -> Option<BufferItem> {
         if self.bytes.is_empty() {
             // Releases the reserved memory.
-            (self.bytes, self.chunk_ends, self.reservations, self.reserved_bytes) =
+            (self.bytes, self.chunk_ends, self.reservations, self.capacity_bytes) =
                 (BytesMut::new(), VecDeque::new(), Vec::new(), READ_CHUNK_BYTES);
             let skipper = self.skipper.as_mut()?;
             match (take(&mut skipper.skipped_commands), self.protocol_error) {
