--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -15,9 +15,9 @@
 //! When slots run short, connections are asked to close in this order, the oldest of each group first:
 //! unclassified connections that have lasted for [`MIN_IDLE_TIME`], client connections that have been idle
 //! for as long, and then younger unclassified connections. A client connection with an open request, or one
-//! idle for a shorter time, is not evicted: the terms that apply to the node let it close a client connection
-//! only after 2 s without an open request. Idle connections to servers are closed by their pool, which is
-//! notified when [`ConnectionSlots::servers_limit_clients`] holds.
+//! idle for a shorter time, is not evicted: the operating platform's terms for nodes let a node close a
+//! client connection only after 2 s without an open request. Idle connections to servers are closed by their
+//! pool, which is notified when [`ConnectionSlots::servers_limit_clients`] holds.
 //!
 //! This module knows nothing of protocols. Sessions report when a request begins and when a connection
 //! becomes idle.
@@ -302,8 +302,8 @@
 
     /// Accepts a valid request that has arrived, or refuses it if slots are short; returns whether it was
     /// accepted. If so, the connection is a client's from then on, a requested eviction is cancelled, and it
-    /// is not evicted until it has been without an open request for `MIN_IDLE_TIME`, as the terms that apply
-    /// to the node require.
+    /// is not evicted until it has been without an open request for `MIN_IDLE_TIME`, as the operating
+    /// platform's terms for nodes require.
     pub fn begin_request(&self) -> bool {
         let (mut table, now) = (self.connection_slots.lock(), Instant::now());
         // Slots that are guaranteed to servers do not count as free, as the request may need a server
--- a/src/bin/pondproxy-node/main.rs
+++ b/src/bin/pondproxy-node/main.rs
@@ -55,7 +55,7 @@
     let deployment = Arc::new(config.deployment.clone());
     let settings = &deployment.settings;
     log(&format!(
-        "{} balancers, notified of server changes within {} ms, drain grace time {} ms",
+        "{} balancers, counts as notified of server changes after {} ms, drain grace time {} ms",
         settings.balancer_count,
         settings.notified_after / 1_000,
         settings.drain_grace_time / 1_000,
