--- a/src/bin/pondproxy-node/discovery/call.rs
+++ b/src/bin/pondproxy-node/discovery/call.rs
@@ -218,7 +218,7 @@
 
     /// Reports the complete entries of a truncated list.
     async fn report_partial_list(&self, content: &[u8]) {
-        let endpoints = list::whole_entries(content);
+        let endpoints = list::complete_entries(content);
         if !endpoints.is_empty() {
             self.report(CallEvent::PartialList(ListUpdate { endpoints, ..ListUpdate::default() })).await;
         }
--- a/src/bin/pondproxy-node/discovery/list.rs
+++ b/src/bin/pondproxy-node/discovery/list.rs
@@ -79,7 +79,7 @@
 }
 
 /// Returns the complete entries of a truncated list.
-pub fn whole_entries(truncated: &[u8]) -> Vec<Endpoint> {
+pub fn complete_entries(truncated: &[u8]) -> Vec<Endpoint> {
     let mut entries = Vec::new();
     let Some(mut rest) = after_entries_bracket(truncated) else { return entries };
     loop {
@@ -113,7 +113,7 @@
             let entry_ends: Vec<_> = list.match_indices('}').map(|(at, _)| at).take(3).collect();
             for cut in 0..list.len() {
                 let names: Vec<_> =
-                    whole_entries(&list.as_bytes()[..cut]).into_iter().map(|e| e.name).collect();
+                    complete_entries(&list.as_bytes()[..cut]).into_iter().map(|e| e.name).collect();
                 let complete = entry_ends.iter().filter(|end| **end < cut).count();
                 assert_eq!(names, ["a", "b", "c"][..complete], "{}", &list[..cut]);
             }
@@ -129,7 +129,7 @@
             b"{\"endpoints\":[,",
             b"\xff\"endpoints\":[{\"name\":1}",
         ] {
-            assert!(whole_entries(text).is_empty());
+            assert!(complete_entries(text).is_empty());
         }
     }
 }
