--- a/src/bin/pondproxy-node/client_sessions.rs
+++ b/src/bin/pondproxy-node/client_sessions.rs
@@ -27,10 +27,10 @@
 /// Maximum number of pending replies of one connection until its first request has been answered, which shows
 /// how long its replies are. Further commands wait in the buffer, or are skipped and answered with `-BUSY`.
 const INITIAL_PIPELINE_LENGTH: usize = 16;
-/// Maximum number of pending replies of one connection however short its replies are.
+/// Maximum number of pending replies of one connection, however short its replies are.
 const MAX_PIPELINE_LENGTH: usize = 64;
-/// The pending replies of one connection may together take the node's memory budget divided by this, if each
-/// is as long as the connection's longest reply so far.
+/// The pending replies of one connection may together take at most the node's memory budget divided by this.
+/// Each of them is assumed to be as long as the connection's longest reply so far.
 const PIPELINE_MEMORY_DIVISOR: usize = 16;
 /// Time after acceptance within which a connection must have sent a complete command, or it is closed.
 /// Neither this time-out nor the next two start again with each byte, so a client that sends or reads single
@@ -42,13 +42,13 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time within which a reply must be written completely, counted from when its writing starts.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time after its last reply after which an idle connection is closed even if nobody needs its slot. Replies
+/// Time since its last reply after which an idle connection is closed even if its slot is not needed. Replies
 /// to commands that are not requests, such as `PING`, count too.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Maximum time for which input is read and discarded after the last reply of a connection that the node
-/// closes after a protocol error, a time-out of a command or a refusal on eviction.
+/// closes after a protocol error, a time-out of a command or a busy reply on eviction.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Maximum number of bytes that are read and discarded in that time.
+/// Maximum number of bytes that are read and discarded during `LINGER_TIMEOUT`.
 const LINGER_MAX_BYTES: usize = 256 * 1024;
 /// Maximum time for which a long command waits for memory while other requests of its connection are open. It
 /// is short because a client's disconnect may not be visible until the input before it has been read.
@@ -305,10 +305,10 @@
     pending_replies: VecDeque<PendingReply>,
     /// Index of the first pending reply; 0 until a reply has been taken for writing.
     first_reply_index: u64,
-    /// No more commands are accepted: the framing of the input is lost, a time limit has passed, or the
+    /// No more commands are accepted: the framing of the input is lost, a command has timed out, or the
     /// connection is evicted with a busy reply.
     input_abandoned: bool,
-    /// Whether the socket was checked once more for input since the connection was asked to close.
+    /// Whether the socket has been checked once more for input since the connection was asked to close.
     input_rechecked: bool,
     /// Length of the longest reply that the event loop has sent so far; 0 before the first.
     longest_reply_bytes: usize,
@@ -318,7 +318,7 @@
     /// When the last reply was written completely, or when the session started.
     idle_since: Instant,
     /// When the connection will have been without an unwritten reply for `MIN_IDLE_TIME`; `None` before the
-    /// first reply, and once surplus idle connections were evicted at that time.
+    /// first reply, and once surplus idle connections have been evicted at that time.
     evictable_at: Option<Instant>,
     context: Arc<SessionContext>,
 }
@@ -383,8 +383,8 @@
                 && (has_open_request || !(accepts_commands && !lacks_memory && unread))
             {
                 // Without this, buffered requests of a client that disconnects while commands are not
-                // accepted would still be forwarded later. Only while no request is open and the rest of the
-                // input can be read at once does the session read on.
+                // accepted would still be forwarded later. The session reads on only if no request is open
+                // and the rest of the input can be read at once.
                 return SessionEnd::Aborted;
             }
             // A disconnect may not be visible until all input before it has been read, so input that cannot
@@ -406,8 +406,8 @@
             let between_requests = !has_unwritten_replies && self.input.is_empty() && !unread;
             let requested_eviction = self.client_slot.eviction_requested();
             self.input_rechecked &= requested_eviction.is_some();
-            // Unread input delays an eviction, but not that of a peer that keeps sending commands that are
-            // not requests.
+            // Unread input delays an eviction, except that of a peer that keeps sending commands that are not
+            // requests.
             let sends_no_requests = |eviction: &Eviction| {
                 *eviction == Eviction::Unclassified && self.first_reply_index > MAX_PIPELINE_LENGTH as u64
             };
@@ -430,7 +430,7 @@
                     Eviction::IdleClient => self.client_slot.cancel_eviction(),
                     _ if has_unwritten_replies => return SessionEnd::Aborted,
                     // A request may still be on its way when the connection is closed, and would be lost
-                    // without a reply. So a refusal is sent first, which the client reads as the reply to
+                    // without a reply. So a busy reply is sent first, which the client reads as the reply to
                     // such a request; the request itself is discarded.
                     Eviction::Unclassified | Eviction::NewlyAccepted => {
                         self.input_abandoned = true;
--- a/src/bin/pondproxy-node/connection_slots.rs
+++ b/src/bin/pondproxy-node/connection_slots.rs
@@ -14,10 +14,10 @@
 //!
 //! When slots run short, connections are asked to close in this order, the oldest of each group first:
 //! unclassified connections that have lasted for [`MIN_IDLE_TIME`], client connections that have been idle
-//! for as long, and then younger unclassified connections. A client connection with an open request, or one
-//! idle for a shorter time, is not evicted: the operating platform's terms for nodes let a node close a
-//! client connection only after 2 s without an open request. Idle connections to servers are closed by their
-//! pool, which is notified when [`ConnectionSlots::servers_limit_clients`] holds.
+//! for as long, and then younger unclassified connections. A client connection that has an open request, or
+//! has been idle for a shorter time, is not evicted: the operating platform's terms for nodes let a node
+//! close a client connection only after 2 s without an open request. Idle connections to servers are closed
+//! by their pool, which is notified when [`ConnectionSlots::servers_limit_clients`] holds.
 //!
 //! This module knows nothing of protocols. Sessions report when a request begins and when a connection
 //! becomes idle.
@@ -157,7 +157,7 @@
     }
 
     /// Returns the number of slots that new connections to the node may still take while `server_connections`
-    /// slots are taken by, or kept for, servers.
+    /// slots are taken by, or guaranteed to, servers.
     fn free_client_slots(&self, table: &SlotTable, server_connections: usize) -> usize {
         let unused =
             self.total_slots.saturating_sub(table.clients.len() + server_connections + self.server_headroom);
@@ -209,7 +209,7 @@
             && self.free_client_slots(&table, table.server_connections) < self.accept_headroom
     }
 
-    /// Returns a slot for a connection to a server, or `None` if servers may take no more.
+    /// Returns a slot for a connection to a server, or `None` if servers may take no more slots.
     pub fn acquire_for_server(self: &Arc<Self>) -> Option<ServerSlot> {
         let mut table = self.lock();
         let unused = self.total_slots.saturating_sub(table.clients.len() + table.server_connections);
@@ -240,7 +240,7 @@
         self.total_slots - self.max_slots_per_side
     }
 
-    /// Whether nothing is connected to the node and the listener accepts nothing.
+    /// Whether no connection to the node is open and the listener accepts none.
     pub fn no_clients(&self) -> bool {
         let table = self.lock();
         table.clients.is_empty() && !table.accepting
--- a/src/bin/pondproxy-node/upstream_pool.rs
+++ b/src/bin/pondproxy-node/upstream_pool.rs
@@ -30,7 +30,7 @@
 /// Maximum length of the value in a server's reply.
 const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
 /// An incomplete reply waits for a reservation of memory once more than this many of its bytes have arrived.
-/// A reservation is for at least twice `MAX_VALUE_BYTES`; a shorter reply does not have to wait for so much.
+/// A reservation is for at least twice `MAX_VALUE_BYTES`, and a shorter reply does not have to wait for it.
 const UNRESERVED_REPLY_BYTES: usize = 4096;
 /// Time-out for the first byte of a reply. In effect unlimited, because the event loop gives attempts up by
 /// closing their connections.
@@ -310,7 +310,7 @@
 impl ConnTask {
     /// Opens the connection and carries requests one after the other, until the connection is lost.
     async fn run(&mut self, address: SocketAddr) -> ConnEvent {
-        // A host that has vanished answers nothing, so connecting has its own time-out.
+        // A host that is down does not answer at all, so connecting has its own time-out.
         let connect_timeout = Duration::from_micros(self.deployment.settings.connect_timeout.max(1_000));
         let Ok(Ok(stream)) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await else {
             return ConnEvent::Failed { written: false };
@@ -340,14 +340,14 @@
             let Some(ConnRequest { request, client }) = next_request else {
                 return ConnEvent::Failed { written: false };
             };
-            // The client may have disconnected since its request was given to this connection; servers should
-            // not work for it.
+            // The client may have disconnected since its request was given to this connection; the server
+            // should not execute such a request.
             if client.disconnected_after_unread_input().await {
                 event = ConnEvent::NotSent;
                 continue;
             }
-            // A close, or a reply to no open request, may have arrived that the runtime has not reported yet.
-            // The kernel is asked so that no request is written after it.
+            // A close, or a reply that belongs to no request, may have arrived without a report by the
+            // runtime so far. The kernel is asked, so that no request is written after either.
             if !nothing_received(&stream) {
                 return ConnEvent::Failed { written: false };
             }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -7,7 +7,7 @@
 //! in that order whose load is below the load bound. After a cache miss the value is fetched from the origin;
 //! a write goes to the origin at once. Calls to the origin pass the gate, which limits the calls in flight
 //! and the calls per time window. A call that the gate blocks is deferred with a random backoff. All other
-//! code handles failures; its comments say which.
+//! code handles failures; the comments there say which failures.
 //!
 //! The gate is modelled on a published rate-limit note: a counter of outstanding calls and a window of one
 //! second; blocked calls are queued again after a random 1 to 3 s and fail after 60 s. Here the window and
@@ -42,9 +42,9 @@
 const REPORT_LIFETIME_MULTIPLE_OF_REQUEST_INTERVAL: f64 = 8.0;
 /// A server is too loaded for a request if its queue takes longer than this fraction of the time left.
 const MAX_WAIT_FRACTION_OF_TIME_LEFT: f64 = 0.5;
-/// Number of observations that stand for those not made yet. Added to the recent answers of a server, it
-/// prevents a few attempts in flight at an idle server from looking like a backlog. As a number of initial
-/// load reports, all with full utilization, it is the start value of the mean utilization. A server with
+/// Number of observations that are assumed where none have been made yet. Added to the recent answers of a
+/// server, it prevents a few attempts in flight at an idle server from looking like a backlog. The mean
+/// utilization starts as if this many load reports, all with full utilization, had arrived. A server with
 /// fewer recent answers than this is observed too little, and a slow read there is hedged.
 const PRIOR_OBSERVATIONS: f64 = 2.0;
 /// Gate: ceiling of the limit on origin calls in flight of one balancer. The limit starts at half of this
@@ -143,7 +143,7 @@
                 self.apply_server_list(kind, servers);
                 if kind == ListKind::Cached {
                     // Without a ready server the balancer cannot serve any request until it has a new list,
-                    // so the call is not delayed.
+                    // so the call to discovery is not delayed.
                     let delay = self.discovery_call_spread() * self.rng.next_unit();
                     self.schedule_discovery_call(if self.ready_servers(false).next().is_some() {
                         delay as Micros
@@ -278,8 +278,8 @@
         let total_load =
             self.ready_servers(false).map(|server| self.estimated_load(server, 1.0)).sum::<f64>();
         let fleet_bound = bound_multiple * (total_load + 1.0) / self.total_weight;
-        // Each balancer may use an equal part of the least bound, and a single one only half of it: the whole
-        // of it from one balancer would be an overload.
+        // Each balancer may use an equal part of the least bound. If there is only one balancer, it may use
+        // half, because attempts up to the whole bound from one balancer would overload a server.
         let min_bound = MIN_LOAD_BOUND_ATTEMPTS / f64::from(self.settings.balancer_count.max(2));
         let mut candidates = Vec::new();
         for server in self.ready_servers(false).filter(|server| {
@@ -379,8 +379,8 @@
         if delay > 0.0 { delay * (0.5 + unit_hash(request_id, server.entry.id, 2)) } else { 0.0 }
     }
 
-    /// Returns the requests waiting per core of a server with the given number in progress. The weight is
-    /// taken as the approximate number of cores.
+    /// Returns the number of requests that wait per core of a server at which `in_progress` requests are in
+    /// progress. The weight is taken as the approximate number of cores.
     fn queued_per_core(&self, server: &Server, in_progress: f64) -> f64 {
         let from_report = if self.settings.weights_are_capacities {
             in_progress / self.server_weight(server) - 1.0
@@ -445,9 +445,9 @@
 
     /// Whether the limits on calls in flight and on calls per window admit one more call. Records the
     /// result in the ratio of blocked calls. The limit per window is at least the limit on calls in flight:
-    /// the window is hardly longer than a call, so a lower limit would make the other one ineffective.
-    /// Also, the quota share of one of many balancers is only a call or two per window, which chance alone
-    /// often exceeds.
+    /// the window is hardly longer than a call takes, so a lower limit would make the other one ineffective.
+    /// Also, the quota share of one of many balancers is only one or two calls per window, a number that
+    /// random variation often exceeds.
     fn gate_admits(&mut self, purpose: Purpose) -> bool {
         let window = self.latency_target as f64 * GATE_WINDOW_FRACTION_OF_LATENCY_TARGET;
         self.gate.advance_window(self.now, window as Micros);
@@ -554,7 +554,7 @@
     }
 
     /// Whether a request may be sent to a server without the risk of a repeated effect: a request that may
-    /// have been executed is sent again only to a server that drops the repeat, and only while it does so.
+    /// have been executed is retried only at a server that drops the retry, and only while it does so.
     fn may_retry_at(&self, request_state: &RequestState, server_id: ServerId) -> bool {
         let Some(&(_, first_sent_at, first_server_id)) = request_state.may_have_run.first() else {
             return true;
@@ -924,8 +924,9 @@
         })
     }
 
-    /// Marks an attempt as lost when its answer is overdue, and retries it. Repeats the check until the
-    /// request has its final answer, because the response time of the server changes meanwhile.
+    /// Marks an attempt as presumed lost when its answer is overdue or its server's zone is silent, and
+    /// retries it. Repeats the check until the request has its final answer, because the response time of the
+    /// server changes meanwhile.
     fn handle_missing_answer(
         &mut self,
         request_id: RequestId,
@@ -943,9 +944,9 @@
             .filter(|_| until_lost < 0.0 && !attempt.presumed_lost)
             .map(|server| server.loss_rate += LOSS_RATE_SMOOTHING_FACTOR * (1.0 - server.loss_rate));
         if newly_lost.is_some() || (!attempt.presumed_lost && self.in_silent_zone(&attempt)) {
-            // A lost attempt no longer counts as in flight, neither at the gate nor at its server. Otherwise
-            // it would count as running work until its time-out, and calls would be blocked despite free
-            // capacity.
+            // An attempt that is presumed lost no longer counts as in flight, neither at the gate nor at its
+            // server. Otherwise it would count as running work until its time-out, and calls would be blocked
+            // despite free capacity.
             self.remove_from_in_flight(&attempt);
             self.attempts.insert((request_id, attempt_number), Attempt { presumed_lost: true, ..attempt });
         }
@@ -981,7 +982,7 @@
 
     /// Retries an attempt whose answer is presumed lost, within the retry budget, if all open attempts of its
     /// request are presumed lost: a read first at the same server and then at the next one, and a call to the
-    /// origin through the gate. Without this, each lost answer would delay its request until the deadline.
+    /// origin through the gate. Without this, a lost answer would delay its request until the deadline.
     fn retry_lost_attempt(&mut self, request_id: RequestId, attempt: &Attempt, actions: &mut Vec<Action>) {
         let lost_count = self.open_attempts(request_id).filter(|presumed_lost| *presumed_lost).count();
         if lost_count == 0
