--- a/src/interface.rs
+++ b/src/interface.rs
@@ -148,8 +148,8 @@
     NonIdempotent,
 }
 
-/// The cache servers that share a record of the keyed requests they have seen, and so drop each other's
-/// repeats.
+/// The cache servers that share a record of the deduplicated requests they have seen, and so drop repeats of
+/// each other's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every cache server.
@@ -202,7 +202,8 @@
     pub id: ServerId,
     /// Zone of the server.
     pub zone: u8,
-    /// Cell of the server: a small group of servers that share the record of keyed requests they have seen.
+    /// Cell of the server: a small group of servers that share the record of deduplicated requests they have
+    /// seen.
     pub cell: u16,
     /// Machine type of the server.
     pub machine_type: u16,
--- a/src/state.rs
+++ b/src/state.rs
@@ -160,8 +160,8 @@
         f64::from(self.idle_weight / self.entry.weight.max(1e-3) - 1.0).max(0.0)
     }
 
-    /// Whether two servers share the record of keyed requests. The origin shares with no cache server: cache
-    /// servers do not know which requests the origin has seen.
+    /// Whether two servers share the record of deduplicated requests. The origin shares with no cache server:
+    /// cache servers do not know which requests the origin has seen.
     pub fn shares_dedup_scope(&self, other: &Server, scope: DedupScope) -> bool {
         match scope {
             _ if self.is_origin || other.is_origin => self.entry.id == other.entry.id,
